--- a/src/main/java/sedgeyoke/model/UpstreamModel.java
+++ b/src/main/java/sedgeyoke/model/UpstreamModel.java
@@ -181,7 +181,7 @@
     }
 
     /** When the node was last started; 0 for long ago. */
-    public long launchedAt() {
+    public long launchedAtMicros() {
         return launchedMicros;
     }
 
--- a/src/main/java/sedgeyoke/plan/AggregatedUpstream.java
+++ b/src/main/java/sedgeyoke/plan/AggregatedUpstream.java
@@ -24,7 +24,7 @@
     private final String id;
     private final Set<String> drainReporters = new HashSet<>();
     private int zone;
-    private long launchedAt;
+    private long launchedAtMicros;
     private double utilisation = Double.NaN;
     private long loadReportedAtMicros = NEVER;
     private double totalLimit;
@@ -45,8 +45,8 @@
         return zone;
     }
 
-    long launchedAt() {
-        return launchedAt;
+    long launchedAtMicros() {
+        return launchedAtMicros;
     }
 
     boolean draining() {
@@ -63,7 +63,7 @@
     }
 
     PlanMessage.View view() {
-        return new PlanMessage.View(id, zone, totalLimit, launchedAt, draining());
+        return new PlanMessage.View(id, zone, totalLimit, launchedAtMicros, draining());
     }
 
     /** Adds what one forwarder reports, given what it reported before. */
@@ -82,12 +82,12 @@
 
     /** The latest reported start counts, and a drain of that process which any forwarder reports. */
     private void updateState(String forwarder, ForwarderReport.Load load) {
-        if (load.launchedAt() > launchedAt) {
-            launchedAt = load.launchedAt();
+        if (load.launchedAtMicros() > launchedAtMicros) {
+            launchedAtMicros = load.launchedAtMicros();
             drainReporters.clear();
             capacity = Double.NaN;
         }
-        if (load.draining() && load.launchedAt() == launchedAt) {
+        if (load.draining() && load.launchedAtMicros() == launchedAtMicros) {
             drainReporters.add(forwarder);
         } else {
             drainReporters.remove(forwarder);
--- a/src/main/java/sedgeyoke/plan/Follower.java
+++ b/src/main/java/sedgeyoke/plan/Follower.java
@@ -114,8 +114,8 @@
             if (cold
                     && deposits.size() < ForwarderReport.MAX_DEPOSITS
                     && delegation.delegate(nowMicros, upstream.id(), to)) {
-                deposits.add(
-                        new ForwarderReport.Deposit(upstream.id(), upstream.launchedAt(), upstream.slowStartQuota()));
+                deposits.add(new ForwarderReport.Deposit(
+                        upstream.id(), upstream.launchedAtMicros(), upstream.slowStartQuota()));
             }
         }
         return deposits;
@@ -124,12 +124,13 @@
     private List<ForwarderReport.Load> nextLoads(long nowMicros, List<UpstreamStatus> upstreams) {
         List<ForwarderReport.Load> loads = new ArrayList<>();
         for (UpstreamStatus upstream : loadBatch.next(upstreams, ForwarderReport.MAX_LOADS)) {
-            long reportAgeMicros = upstream.reportedAt() > 0 ? Math.max(0, nowMicros - upstream.reportedAt()) : -1;
+            long reportAgeMicros =
+                    upstream.reportedAtMicros() > 0 ? Math.max(0, nowMicros - upstream.reportedAtMicros()) : -1;
             loads.add(new ForwarderReport.Load(
                     upstream.id(),
                     upstream.zone(),
                     upstream.state() == State.DRAINING,
-                    upstream.launchedAt(),
+                    upstream.launchedAtMicros(),
                     upstream.inFlight(),
                     upstream.sent(),
                     upstream.limit(),
@@ -198,7 +199,8 @@
             UsableGrants usable = grants.getOrDefault(upstream, UsableGrants.NONE);
             quota.put(
                     upstream,
-                    new SlowStartQuota(usable.launchedAt, delegation.delegatedUntilMicros(upstream), usable.grants));
+                    new SlowStartQuota(
+                            usable.launchedAtMicros, delegation.delegatedUntilMicros(upstream), usable.grants));
         }
         return quota;
     }
@@ -225,12 +227,13 @@
         static final UsableGrants NONE = new UsableGrants();
 
         private final List<SlowStartGrant> grants = new ArrayList<>();
-        private long launchedAt;
+        private long launchedAtMicros;
 
         /** Adds a grant, unless it is for an earlier process of the upstream. */
         void add(PlanMessage.Grant grant, long untilMicros) {
-            launchedAt = grants.isEmpty() ? grant.launchedAt() : Math.max(launchedAt, grant.launchedAt());
-            if (grant.launchedAt() == launchedAt) {
+            launchedAtMicros =
+                    grants.isEmpty() ? grant.launchedAtMicros() : Math.max(launchedAtMicros, grant.launchedAtMicros());
+            if (grant.launchedAtMicros() == launchedAtMicros) {
                 grants.add(new SlowStartGrant(grant.rate(), untilMicros));
             }
         }
--- a/src/main/java/sedgeyoke/plan/ForwarderReport.java
+++ b/src/main/java/sedgeyoke/plan/ForwarderReport.java
@@ -52,7 +52,7 @@
      * @param upstream its id
      * @param zone its zone
      * @param draining whether this forwarder's endpoint list has it draining
-     * @param launchedAt when its process started, as discovery says; 0 for long ago
+     * @param launchedAtMicros when its process started, as discovery says; 0 for long ago
      * @param inFlight attempts in flight from this forwarder
      * @param sent attempts since the forwarder knows the upstream
      * @param limit this forwarder's in-flight limit for it
@@ -65,7 +65,7 @@
             String upstream,
             int zone,
             boolean draining,
-            long launchedAt,
+            long launchedAtMicros,
             int inFlight,
             long sent,
             double limit,
@@ -78,10 +78,10 @@
      * Slow-start quota that a forwarder delegates to the planner.
      *
      * @param upstream the cold upstream's id
-     * @param launchedAt the start of the process that the quota is for
+     * @param launchedAtMicros the start of the process that the quota is for
      * @param rate mean requests a second
      */
-    public record Deposit(String upstream, long launchedAt, double rate) {}
+    public record Deposit(String upstream, long launchedAtMicros, double rate) {}
 
     /** Requests a second that reach the forwarder, of all classes. */
     double totalDemand() {
--- a/src/main/java/sedgeyoke/plan/GrantAllocator.java
+++ b/src/main/java/sedgeyoke/plan/GrantAllocator.java
@@ -27,12 +27,12 @@
      *
      * @param candidates the forwarders of largest weight first
      */
-    static List<Allocation> allocate(UpstreamQuota quota, long launchedAt, List<GrantCandidate> candidates) {
+    static List<Allocation> allocate(UpstreamQuota quota, long launchedAtMicros, List<GrantCandidate> candidates) {
         List<Allocation> allocations = new ArrayList<>();
         if (candidates.isEmpty()) {
             return allocations;
         }
-        double deposited = quota.deposited(launchedAt, lastExpiryMicros(quota, candidates));
+        double deposited = quota.deposited(launchedAtMicros, lastExpiryMicros(quota, candidates));
         double unused = deposited - quota.totalGranted();
         if (unused < 0) { // a deposit has expired: nothing new before the grants that it covered have expired, too
             return allocations;
--- a/src/main/java/sedgeyoke/plan/PlanMessage.java
+++ b/src/main/java/sedgeyoke/plan/PlanMessage.java
@@ -37,17 +37,17 @@
      * @param upstream its id
      * @param zone its zone
      * @param totalLimit sum of all forwarders' in-flight limits
-     * @param launchedAt the latest start that any forwarder reports
+     * @param launchedAtMicros the latest start that any forwarder reports
      * @param draining whether any forwarder reports that it drains
      */
-    public record View(String upstream, int zone, double totalLimit, long launchedAt, boolean draining) {}
+    public record View(String upstream, int zone, double totalLimit, long launchedAtMicros, boolean draining) {}
 
     /**
      * Slow-start quota that the forwarder may use in addition to its own.
      *
      * @param upstream the cold upstream's id
-     * @param launchedAt the start of the process that the quota is for
+     * @param launchedAtMicros the start of the process that the quota is for
      * @param rate mean requests a second
      */
-    public record Grant(String upstream, long launchedAt, double rate) {}
+    public record Grant(String upstream, long launchedAtMicros, double rate) {}
 }
--- a/src/main/java/sedgeyoke/plan/SlowStartQuotaPool.java
+++ b/src/main/java/sedgeyoke/plan/SlowStartQuotaPool.java
@@ -42,7 +42,8 @@
                     .computeIfAbsent(deposit.upstream(), id -> new UpstreamQuota())
                     .deposit(
                             forwarder,
-                            new UpstreamQuota.DelegatedQuota(deposit.rate(), deposit.launchedAt(), expiresAtMicros));
+                            new UpstreamQuota.DelegatedQuota(
+                                    deposit.rate(), deposit.launchedAtMicros(), expiresAtMicros));
         }
         depositsByForwarder.put(forwarder, ids);
     }
@@ -78,13 +79,14 @@
             UpstreamQuota quota,
             List<GrantCandidate> candidates,
             Map<String, List<PlanMessage.Grant>> grants) {
-        for (GrantAllocator.Allocation allocation : GrantAllocator.allocate(quota, upstream.launchedAt(), candidates)) {
+        for (GrantAllocator.Allocation allocation :
+                GrantAllocator.allocate(quota, upstream.launchedAtMicros(), candidates)) {
             GrantCandidate candidate = allocation.candidate();
             recordGrant(
                     quota.grantsOf(candidate.forwarder()),
                     new UpstreamQuota.OutstandingGrant(allocation.rate(), candidate.expiresAtMicros()));
             grants.computeIfAbsent(candidate.forwarder(), forwarder -> new ArrayList<>())
-                    .add(new PlanMessage.Grant(upstream.id(), upstream.launchedAt(), allocation.rate()));
+                    .add(new PlanMessage.Grant(upstream.id(), upstream.launchedAtMicros(), allocation.rate()));
         }
     }
 
--- a/src/main/java/sedgeyoke/plan/UpstreamQuota.java
+++ b/src/main/java/sedgeyoke/plan/UpstreamQuota.java
@@ -14,10 +14,10 @@
      * A forwarder's deposit.
      *
      * @param rate mean requests a second
-     * @param launchedAt the start of the upstream's process that it is for
+     * @param launchedAtMicros the start of the upstream's process that it is for
      * @param expiresAtMicros until when it may be counted on
      */
-    record DelegatedQuota(double rate, long launchedAt, long expiresAtMicros) {}
+    record DelegatedQuota(double rate, long launchedAtMicros, long expiresAtMicros) {}
 
     /**
      * A grant that its forwarder may still use.
@@ -63,9 +63,10 @@
     }
 
     /** Total of the deposits for one process of the upstream that last until {@code endMicros}. */
-    double deposited(long launchedAt, long endMicros) {
+    double deposited(long launchedAtMicros, long endMicros) {
         return deposits.values().stream()
-                .filter(deposit -> deposit.expiresAtMicros() >= endMicros && deposit.launchedAt() == launchedAt)
+                .filter(deposit ->
+                        deposit.expiresAtMicros() >= endMicros && deposit.launchedAtMicros() == launchedAtMicros)
                 .mapToDouble(DelegatedQuota::rate)
                 .sum();
     }
--- a/src/main/java/sedgeyoke/plan/ViewCache.java
+++ b/src/main/java/sedgeyoke/plan/ViewCache.java
@@ -35,7 +35,7 @@
             PlanMessage.View view = cached.view();
             boolean hasShare = view.zone() >= 0 && view.zone() < limitShares.size();
             double limit = hasShare ? view.totalLimit() * limitShares.get(view.zone()) : Double.NaN;
-            upstreamViews.add(new UpstreamView(view.upstream(), limit, view.launchedAt(), view.draining()));
+            upstreamViews.add(new UpstreamView(view.upstream(), limit, view.launchedAtMicros(), view.draining()));
         }
         return upstreamViews;
     }
--- a/src/main/java/sedgeyoke/plan/remote/PlannerCodec.java
+++ b/src/main/java/sedgeyoke/plan/remote/PlannerCodec.java
@@ -54,8 +54,8 @@
                 .addAllDemand(report.demand());
         report.loads().forEach(load -> message.addLoads(encode(load)));
         report.deposits()
-                .forEach(deposit ->
-                        message.addDeposits(encodeQuota(deposit.upstream(), deposit.launchedAt(), deposit.rate())));
+                .forEach(deposit -> message.addDeposits(
+                        encodeQuota(deposit.upstream(), deposit.launchedAtMicros(), deposit.rate())));
         return message.build();
     }
 
@@ -64,7 +64,7 @@
                 .setUpstream(load.upstream())
                 .setZone(load.zone())
                 .setDraining(load.draining())
-                .setLaunchedAt(load.launchedAt())
+                .setLaunchedAt(load.launchedAtMicros())
                 .setInFlight(load.inFlight())
                 .setSent(load.sent())
                 .setLimit((float) load.limit())
@@ -146,7 +146,7 @@
                     .setUpstream(view.upstream())
                     .setZone(view.zone())
                     .setTotalLimit((float) Math.max(0, view.totalLimit()))
-                    .setLaunchedAt(view.launchedAt())
+                    .setLaunchedAt(view.launchedAtMicros())
                     .setDraining(view.draining()));
         }
         return message.build().toByteString();
@@ -166,7 +166,8 @@
         plan.spillover().forEach(share -> message.addSpillover(share.floatValue()));
         plan.limitShares().forEach(share -> message.addLimitShares(Double.isNaN(share) ? UNKNOWN_SHARE : share));
         plan.grants()
-                .forEach(grant -> message.addGrants(encodeQuota(grant.upstream(), grant.launchedAt(), grant.rate())));
+                .forEach(grant ->
+                        message.addGrants(encodeQuota(grant.upstream(), grant.launchedAtMicros(), grant.rate())));
         return message.build();
     }
 
@@ -236,10 +237,10 @@
 
     // ---- Parts of both -------------------------------------------------------------------------------
 
-    private static SlowStartQuotaMessage encodeQuota(String upstream, long launchedAt, double rate) {
+    private static SlowStartQuotaMessage encodeQuota(String upstream, long launchedAtMicros, double rate) {
         return SlowStartQuotaMessage.newBuilder()
                 .setUpstream(upstream)
-                .setLaunchedAt(launchedAt)
+                .setLaunchedAt(launchedAtMicros)
                 .setRate(rate)
                 .build();
     }
--- a/src/main/java/sedgeyoke/policy/ConcurrencyLimits.java
+++ b/src/main/java/sedgeyoke/policy/ConcurrencyLimits.java
@@ -44,7 +44,7 @@
     /** All beyond the least service time seen; the reported one rises with concurrency. */
     static double waitingTime(UpstreamState upstream, RequestState request, double duration, long now) {
         boolean hinted = request.request.expectedWork() > 0;
-        double reported = upstream.report == null ? Double.NaN : upstream.report.serviceTime();
+        double reported = upstream.report == null ? Double.NaN : upstream.report.serviceTimeMicros();
         double unhinted = reported > 0 ? reported : upstream.meanResponseTime;
         double sample = hinted ? duration / request.cost : unhinted;
         double drift = Math.exp((now - upstream.leastServiceTimeAt) * LEAST_TIME_DRIFT);
--- a/src/main/java/sedgeyoke/policy/LaunchTimes.java
+++ b/src/main/java/sedgeyoke/policy/LaunchTimes.java
@@ -34,7 +34,7 @@
 
     /** Takes in the stamps of a list before its entries are looked up: none can lie in the future. */
     void observe(List<Upstream> entries, long now) {
-        entries.forEach(entry -> clockOffset = Math.max(clockOffset, entry.launchedAt() - now));
+        entries.forEach(entry -> clockOffset = Math.max(clockOffset, entry.launchedAtMicros() - now));
     }
 
     /** From now on launches are seen as they are listed; before, a list may name launches of any age. */
--- a/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
+++ b/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
@@ -169,8 +169,8 @@
         LIVE
     }
 
-    /** An entry of the endpoint list; {@code launchedAt} 0 means long ago. */
-    record Upstream(String id, int zone, int kind, int cell, State state, double rating, long launchedAt) {}
+    /** An entry of the endpoint list; {@code launchedAtMicros} 0 means long ago. */
+    record Upstream(String id, int zone, int kind, int cell, State state, double rating, long launchedAtMicros) {}
 
     /**
      * A request. {@code expectedWork} is 0 without a hint, {@code affinityKey} null without a key.
@@ -183,7 +183,7 @@
             int tenant,
             String affinityKey,
             long expectedWork,
-            long timeLeft,
+            long timeLeftMicros,
             boolean write,
             boolean retry,
             boolean bodyPending) {
@@ -194,10 +194,10 @@
                 int tenant,
                 String affinityKey,
                 long expectedWork,
-                long timeLeft,
+                long timeLeftMicros,
                 boolean write,
                 boolean retry) {
-            this(id, classIndex, tenant, affinityKey, expectedWork, timeLeft, write, retry, false);
+            this(id, classIndex, tenant, affinityKey, expectedWork, timeLeftMicros, write, retry, false);
         }
     }
 
@@ -207,7 +207,7 @@
             int attempt,
             String upstream,
             Outcome outcome,
-            long duration,
+            long durationMicros,
             boolean concluded,
             LoadReport load) {}
 
@@ -216,24 +216,24 @@
             double utilisation,
             double active,
             double waiting,
-            double serviceTime,
+            double serviceTimeMicros,
             double servedPerSecond,
             double errorsPerSecond) {}
 
     /**
      * A class of requests. The latency objective is lengthened by {@code objectiveStretch} times the expected work.
      * A response in time counts {@code priorityWeight}, a late one {@code latePriorityWeight}. Upstreams remember
-     * idempotency keys for {@code deduplicationWindow}.
+     * idempotency keys for {@code deduplicationWindowMicros}.
      */
     record RequestClass(
-            long latencyObjective,
+            long latencyObjectiveMicros,
             double objectiveStretch,
-            long clientTimeout,
+            long clientTimeoutMicros,
             double priorityWeight,
             double latePriorityWeight,
             Effect effect,
             Scope scope,
-            long deduplicationWindow,
+            long deduplicationWindowMicros,
             boolean stream) {}
 
     /** A tenant; its allowance is in requests a second over all balancers, 0 for none. */
@@ -248,24 +248,24 @@
             boolean peers,
             int maxConcurrentRequests,
             boolean retryAfter,
-            long maxRetryAfter,
-            long connectTimeout,
-            long idleTimeout,
+            long maxRetryAfterMicros,
+            long connectTimeoutMicros,
+            long idleTimeoutMicros,
             int streamsPerConnection) {}
 
     /**
-     * The platform's rules. The endpoint list is polled at least each {@code endpointPollLimit}. A launched upstream
-     * has {@code initialCapacity} of its capacity, and all of it after {@code slowStartTime}; before, it fails if it
-     * gets more than {@code overloadMultiple} times its capacity within {@code overloadWindow}.
+     * The platform's rules. The endpoint list is polled at least each {@code endpointPollLimitMicros}. A launched
+     * upstream has {@code initialCapacity} of its capacity, and all of it after {@code slowStartTimeMicros}; before,
+     * it fails if it gets more than {@code overloadMultiple} times its capacity within {@code overloadWindowMicros}.
      */
     record PlatformRules(
-            long responseSlack,
-            long endpointPollLimit,
+            long responseSlackMicros,
+            long endpointPollLimitMicros,
             double initialCapacity,
-            long slowStartTime,
-            long drainGrace,
+            long slowStartTimeMicros,
+            long drainGraceMicros,
             double overloadMultiple,
-            long overloadWindow) {}
+            long overloadWindowMicros) {}
 
     /** What the platform charges, in points for each unit. */
     record Prices(double crossZone, double wastedWork, double healthCheck, double lateFailure, double handshake) {}
@@ -291,69 +291,69 @@
             Ratings ratings,
             boolean subscribesToEndpoints,
             boolean keyAffinity,
-            long clockTick) {}
+            long clockTickMicros) {}
 
     /**
      * What planners know of an upstream. Its load reports are not part of it: balancers with the same reports at the
      * same time would change their weights in step, which serves less than weights from their own responses.
      *
      * @param limit planned in-flight limit of this balancer; NaN for none
-     * @param launchedAt its latest launch that any balancer knows of; 0 for none
+     * @param launchedAtMicros its latest launch that any balancer knows of; 0 for none
      * @param draining whether any balancer knows that it drains: it gets no attempts, whatever our list says
      */
-    record UpstreamView(String id, double limit, long launchedAt, boolean draining) {}
+    record UpstreamView(String id, double limit, long launchedAtMicros, boolean draining) {}
 
     /** A granted rate, in mean requests a second, to a slow-starting upstream. */
-    record SlowStartGrant(double rate, long expiresAt) {}
+    record SlowStartGrant(double rate, long expiresAtMicros) {}
 
     /**
-     * The quota of an upstream that starts slowly since {@code launchedAt}: our own one is delegated for some time,
-     * and others grant parts of theirs to us.
+     * The quota of an upstream that starts slowly since {@code launchedAtMicros}: our own one is delegated for some
+     * time, and others grant parts of theirs to us.
      */
-    record SlowStartQuota(long launchedAt, long delegatedUntil, List<SlowStartGrant> grants) {}
+    record SlowStartQuota(long launchedAtMicros, long delegatedUntilMicros, List<SlowStartGrant> grants) {}
 
     /**
-     * A plan. {@code lastPlannerContact} is 0 without a contact; a plan fades out over {@code fadeOutTime} after it.
-     * {@code zoneSpillover} has the share of our zone's requests for each zone, or is empty. Our own slow-start quotas
-     * must not be used before {@code ownQuotaBlockedUntil}.
+     * A plan. {@code lastPlannerContactMicros} is 0 without a contact; a plan fades out over
+     * {@code fadeOutTimeMicros} after it. {@code zoneSpillover} has the share of our zone's requests for each
+     * zone, or is empty. Our own slow-start quotas must not be used before {@code ownQuotaBlockedUntilMicros}.
      */
     record Plan(
-            long lastPlannerContact,
-            long fadeOutTime,
+            long lastPlannerContactMicros,
+            long fadeOutTimeMicros,
             List<UpstreamView> upstreams,
             List<Double> zoneSpillover,
-            long ownQuotaBlockedUntil,
+            long ownQuotaBlockedUntilMicros,
             Map<String, SlowStartQuota> slowStartQuotas) {
 
         /**
-         * The quota of an upstream launched at {@code launchedAt}; null if none was agreed. A delegation holds for
-         * every process of the upstream, a grant for one only.
+         * The quota of an upstream launched at {@code launchedAtMicros}; null if none was agreed. A delegation
+         * holds for every process of the upstream, a grant for one only.
          */
-        public SlowStartQuota slowStartQuota(String upstream, long launchedAt) {
+        public SlowStartQuota slowStartQuota(String upstream, long launchedAtMicros) {
             SlowStartQuota quota = slowStartQuotas.get(upstream);
-            return quota == null || quota.launchedAt() == launchedAt
+            return quota == null || quota.launchedAtMicros() == launchedAtMicros
                     ? quota
-                    : new SlowStartQuota(launchedAt, quota.delegatedUntil(), List.of());
+                    : new SlowStartQuota(launchedAtMicros, quota.delegatedUntilMicros(), List.of());
         }
     }
 
     /**
-     * The state of an upstream at this balancer. {@code sent} counts its attempts; {@code reportedAt} is 0 without a
-     * load report; {@code ejected} is set for cordoned upstreams too; {@code slowStartQuota} is our own one, in mean
-     * requests a second.
+     * The state of an upstream at this balancer. {@code sent} counts its attempts; {@code reportedAtMicros} is 0
+     * without a load report; {@code ejected} is set for cordoned upstreams too; {@code slowStartQuota} is our own one, in
+     * mean requests a second.
      */
     record UpstreamStatus(
             String id,
             int zone,
             State state,
-            long launchedAt,
+            long launchedAtMicros,
             int inFlight,
             long sent,
             double weight,
             double limit,
             double utilisation,
             double waiting,
-            long reportedAt,
+            long reportedAtMicros,
             boolean ejected,
             double slowStartQuota) {}
 
--- a/src/main/java/sedgeyoke/policy/PlanBlend.java
+++ b/src/main/java/sedgeyoke/policy/PlanBlend.java
@@ -23,20 +23,21 @@
         if (plan == null) {
             return 0;
         }
-        boolean fresh = plan.lastPlannerContact() > 0 && now - plan.lastPlannerContact() <= FRESH_TIME_MICROS;
-        double step = (now - strengthAt) / (double) (fresh ? RISE_TIME_MICROS : -plan.fadeOutTime());
+        long contact = plan.lastPlannerContactMicros();
+        boolean fresh = contact > 0 && now - contact <= FRESH_TIME_MICROS;
+        double step = (now - strengthAt) / (double) (fresh ? RISE_TIME_MICROS : -plan.fadeOutTimeMicros());
         strength = strengthAt == 0 ? 0 : Math.max(0, Math.min(1, strength + step));
         strengthAt = now;
         return strength;
     }
 
     /** The agreed quota of a slow-starting upstream; null if there is none. */
-    SlowStartQuota slowStartQuota(String upstream, long launchedAt) {
-        return plan == null ? null : plan.slowStartQuota(upstream, launchedAt);
+    SlowStartQuota slowStartQuota(String upstream, long launchedAtMicros) {
+        return plan == null ? null : plan.slowStartQuota(upstream, launchedAtMicros);
     }
 
-    long ownQuotaBlockedUntil() {
-        return plan == null ? Long.MIN_VALUE : plan.ownQuotaBlockedUntil();
+    long ownQuotaBlockedUntilMicros() {
+        return plan == null ? Long.MIN_VALUE : plan.ownQuotaBlockedUntilMicros();
     }
 
     /** How near a zone is to be treated: 0 like any other zone, 1 like our own. */
--- a/src/main/java/sedgeyoke/policy/RequestState.java
+++ b/src/main/java/sedgeyoke/policy/RequestState.java
@@ -27,9 +27,9 @@
         this.requestClass = requestClass;
         this.number = number;
         this.arrivedAt = now;
-        this.deadline = now + request.timeLeft();
+        this.deadline = now + request.timeLeftMicros();
         long stretch = (long) (requestClass.objectiveStretch() * request.expectedWork());
-        this.objectiveAt = Math.min(deadline, now + (requestClass.latencyObjective() + stretch));
+        this.objectiveAt = Math.min(deadline, now + (requestClass.latencyObjectiveMicros() + stretch));
     }
 
     /** The attempt of that number; null if there is none. */
--- a/src/main/java/sedgeyoke/policy/RetryPolicy.java
+++ b/src/main/java/sedgeyoke/policy/RetryPolicy.java
@@ -43,7 +43,7 @@
         }
         return request.requestClass.effect() == Effect.IDEMPOTENT_WITH_KEY
                 && sameScope(request.requestClass.scope(), earlier.upstream, upstream)
-                && now - earlier.sentAt < request.requestClass.deduplicationWindow() - deadlineMargin;
+                && now - earlier.sentAt < request.requestClass.deduplicationWindowMicros() - deadlineMargin;
     }
 
     private static boolean sameScope(Scope scope, UpstreamState earlier, UpstreamState next) {
--- a/src/main/java/sedgeyoke/policy/SettingsValidator.java
+++ b/src/main/java/sedgeyoke/policy/SettingsValidator.java
@@ -20,13 +20,13 @@
         require(settings.groupSize() >= 1, "groupSize");
         require(settings.position() >= 0, "position");
         require(settings.overQuotaPriority() >= 0, "overShareWorth");
-        require(settings.clockTick() >= 0, "tick");
+        require(settings.clockTickMicros() >= 0, "tick");
         for (RequestClass requestClass : settings.classes()) {
-            require(requestClass.latencyObjective() > 0, "classes.aim");
-            require(requestClass.clientTimeout() > 0, "classes.giveUp");
+            require(requestClass.latencyObjectiveMicros() > 0, "classes.aim");
+            require(requestClass.clientTimeoutMicros() > 0, "classes.giveUp");
             require(requestClass.priorityWeight() >= 0, "classes.worth");
             require(requestClass.latePriorityWeight() >= 0, "classes.lateWorth");
-            require(requestClass.deduplicationWindow() >= 0, "classes.memorySpan");
+            require(requestClass.deduplicationWindowMicros() >= 0, "classes.memorySpan");
             require(requestClass.objectiveStretch() >= 0, "classes.aimStretch");
         }
         for (Tenant tenant : settings.tenants()) {
@@ -38,21 +38,21 @@
         require(
                 settings.rules().initialCapacity() >= 0 && settings.rules().initialCapacity() <= 1,
                 "rules.startCapacity");
-        require(settings.rules().slowStartTime() >= 0, "rules.coldTime");
-        require(settings.rules().drainGrace() >= 0, "rules.drainGrace");
+        require(settings.rules().slowStartTimeMicros() >= 0, "rules.coldTime");
+        require(settings.rules().drainGraceMicros() >= 0, "rules.drainGrace");
         require(settings.rules().overloadMultiple() >= 0, "rules.fallMultiple");
-        require(settings.rules().overloadWindow() >= 0, "rules.fallTime");
+        require(settings.rules().overloadWindowMicros() >= 0, "rules.fallTime");
         require(settings.prices().healthCheck() >= 0, "prices.probe");
         require(settings.prices().crossZone() >= 0, "prices.crossZone");
         require(settings.prices().wastedWork() >= 0, "prices.waste");
         require(settings.prices().lateFailure() >= 0, "prices.lateFail");
         require(settings.prices().handshake() >= 0, "prices.handshake");
-        require(settings.limits().maxRetryAfter() >= 0, "limits.maxRetryAfter");
-        require(settings.limits().connectTimeout() >= 0, "limits.connectTimeout");
-        require(settings.limits().idleTimeout() >= 0, "limits.connectIdle");
+        require(settings.limits().maxRetryAfterMicros() >= 0, "limits.maxRetryAfter");
+        require(settings.limits().connectTimeoutMicros() >= 0, "limits.connectTimeout");
+        require(settings.limits().idleTimeoutMicros() >= 0, "limits.connectIdle");
         require(settings.limits().streamsPerConnection() >= 0, "limits.streamsPerConnection");
-        require(settings.rules().responseSlack() >= 0, "rules.answerSlack");
-        require(settings.rules().endpointPollLimit() >= 0, "rules.askWithin");
+        require(settings.rules().responseSlackMicros() >= 0, "rules.answerSlack");
+        require(settings.rules().endpointPollLimitMicros() >= 0, "rules.askWithin");
     }
 
     private static void require(boolean good, String field) {
--- a/src/main/java/sedgeyoke/policy/SlowStartBucket.java
+++ b/src/main/java/sedgeyoke/policy/SlowStartBucket.java
@@ -31,14 +31,14 @@
             refilledAt = now;
             return;
         }
-        long ownFrom = Math.max(blockedTo, quota == null ? blockedTo : quota.delegatedUntil());
+        long ownFrom = Math.max(blockedTo, quota == null ? blockedTo : quota.delegatedUntilMicros());
         double rate = now >= ownFrom ? own : 0;
         double gained = own * Math.max(0, now - Math.max(refilledAt, ownFrom));
         if (quota != null) {
             for (SlowStartGrant grant : quota.grants()) {
                 double granted = grant.rate() * SECONDS_PER_MICRO;
-                rate += now < grant.expiresAt() ? granted : 0;
-                gained += granted * Math.max(0, Math.min(now, grant.expiresAt()) - refilledAt);
+                rate += now < grant.expiresAtMicros() ? granted : 0;
+                gained += granted * Math.max(0, Math.min(now, grant.expiresAtMicros()) - refilledAt);
             }
         }
         tokens = Math.min(rate * window, tokens + gained);
--- a/src/main/java/sedgeyoke/policy/UpstreamState.java
+++ b/src/main/java/sedgeyoke/policy/UpstreamState.java
@@ -18,7 +18,7 @@
     double weight = 1;
     double utilisation = Double.NaN;
     LoadReport report;
-    long reportedAt = Long.MIN_VALUE / 2;
+    long reportedAtMicros = Long.MIN_VALUE / 2;
     double limit;
     long backOffUntil;
     long limitCutAt;
@@ -38,11 +38,11 @@
     double zoneSpillover;
     boolean plannedDraining;
     long notifiedLaunchAt;
-    long slowStartBeganAt; // by our own clock, 0 for long ago; launchedAt() only tells processes apart
+    long slowStartBeganAt; // by our own clock, 0 for long ago; launchedAtMicros() only tells processes apart
     long healthCheckedAt = Long.MIN_VALUE / 2;
     double ringPosition;
     double reportedActive;
-    double serviceTime; // as last reported, or the duration of a later attempt without a response
+    double serviceTimeMicros; // as last reported, or the duration of a later attempt without a response
     long serviceTimeAt;
 
     UpstreamState(String id) {
@@ -50,12 +50,12 @@
     }
 
     /** Its latest start, by the endpoint list or a planner. */
-    long launchedAt() {
-        return Math.max(entry.launchedAt(), notifiedLaunchAt);
+    long launchedAtMicros() {
+        return Math.max(entry.launchedAtMicros(), notifiedLaunchAt);
     }
 
     boolean hasFreshReport(long now) {
-        return report != null && now - reportedAt <= REPORT_LIFETIME_MICROS;
+        return report != null && now - reportedAtMicros <= REPORT_LIFETIME_MICROS;
     }
 
     /** Whether the latest report, which covers the requests of all balancers, shows idle cores. */
--- a/src/main/java/sedgeyoke/policy/UtilizationWeightedPolicy.java
+++ b/src/main/java/sedgeyoke/policy/UtilizationWeightedPolicy.java
@@ -93,14 +93,19 @@
         this.settings = settings;
         this.actions = actions;
         this.random = new SplittableRandom(seed);
-        this.deadlineMargin = SWEEP_PERIOD_MICROS + MARGIN_TICKS * Math.max(settings.clockTick(), 1_000);
+        long tick = Math.max(settings.clockTickMicros(), 1_000);
+        this.deadlineMargin = SWEEP_PERIOD_MICROS + MARGIN_TICKS * tick;
         this.retryPolicy = new RetryPolicy(settings, deadlineMargin);
         List<RequestClass> classes = settings.classes();
-        long objective =
-                classes.stream().mapToLong(RequestClass::latencyObjective).min().orElse(Long.MAX_VALUE);
+        long objective = classes.stream()
+                .mapToLong(RequestClass::latencyObjectiveMicros)
+                .min()
+                .orElse(Long.MAX_VALUE);
         this.waitTarget = (long) (ConcurrencyLimits.WAIT_TARGET_SHARE * objective);
-        this.longestTimeout =
-                classes.stream().mapToLong(RequestClass::clientTimeout).max().orElse(0);
+        this.longestTimeout = classes.stream()
+                .mapToLong(RequestClass::clientTimeoutMicros)
+                .max()
+                .orElse(0);
         this.admission = new AdmissionControl(settings);
         this.classResponseTimes = new double[classes.size()];
         this.classRates = classes.stream().map(each -> new RateEstimator()).toList();
@@ -124,7 +129,7 @@
     public void endpointsUpdated(long now, ListKind kind, List<Upstream> entries) {
         if (kind == ListKind.UNAVAILABLE) {
             long longest = (long) Math.max(
-                    FIRST_BACKOFF_MICROS, MAX_BACKOFF_SHARE * settings.rules().endpointPollLimit());
+                    FIRST_BACKOFF_MICROS, MAX_BACKOFF_SHARE * settings.rules().endpointPollLimitMicros());
             resubscribeBackoff = Math.min(longest, Math.max(FIRST_BACKOFF_MICROS, 2 * resubscribeBackoff));
             resubscribeAt = now + jitter(resubscribeBackoff);
             return;
@@ -165,14 +170,14 @@
         UpstreamState upstream = upstreamsById.get(entry.id());
         if (upstream == null || isOtherProcess(entry, upstream.entry)) {
             upstream = addUpstream(entry.id(), now);
-            upstream.slowStartBeganAt = launchTimes.slowStartBegan(entry.id(), entry.launchedAt(), now);
+            upstream.slowStartBeganAt = launchTimes.slowStartBegan(entry.id(), entry.launchedAtMicros(), now);
         }
         upstream.entry = entry;
     }
 
     /** Stamps tell processes apart; a restart after a step of that clock may have the smaller one. */
     private static boolean isOtherProcess(Upstream entry, Upstream before) {
-        return entry.launchedAt() > 0 && entry.launchedAt() != before.launchedAt();
+        return entry.launchedAtMicros() > 0 && entry.launchedAtMicros() != before.launchedAtMicros();
     }
 
     /** A new process has a new state: nothing known of the old one holds for it. */
@@ -195,7 +200,7 @@
         cordoned = Map.copyOf(cordons);
         before.forEach((id, since) -> {
             UpstreamState old = upstreamsById.get(id);
-            if (!cordoned.containsKey(id) && old != null && old.launchedAt() <= since) {
+            if (!cordoned.containsKey(id) && old != null && old.launchedAtMicros() <= since) {
                 UpstreamState upstream = addUpstream(id, now);
                 upstream.entry = old.entry;
                 upstream.notifiedLaunchAt = now;
@@ -259,15 +264,16 @@
             return;
         }
         upstream.report = report;
-        upstream.reportedAt = now;
+        upstream.reportedAtMicros = now;
         double active = report.active() >= 0 ? report.active() : report.waiting();
         upstream.reportedActive = active >= 0 ? Math.min(active, MAX_REPORTED_ACTIVE) : 0;
         meanActive += SMOOTHING * (upstream.reportedActive - meanActive);
-        if (report.serviceTime() > 0 && report.serviceTime() <= longestTimeout) { // else it is invalid
-            upstream.serviceTime = report.serviceTime();
+        boolean validTime = report.serviceTimeMicros() > 0 && report.serviceTimeMicros() <= longestTimeout;
+        if (validTime) {
+            upstream.serviceTimeMicros = report.serviceTimeMicros();
             upstream.serviceTimeAt = now;
-            meanServiceTime = MovingAverage.next(meanServiceTime, upstream.serviceTime, FLEET_SMOOTHING);
-            double seen = upstream.serviceTime;
+            double seen = upstream.serviceTimeMicros;
+            meanServiceTime = MovingAverage.next(meanServiceTime, seen, FLEET_SMOOTHING);
             int kind = zoneAndKind(upstream);
             serviceTimeByKind.merge(kind, seen, (a, b) -> MovingAverage.next(a, b, FLEET_SMOOTHING));
         }
@@ -276,8 +282,8 @@
     private void recordOutcome(RequestState request, Attempt attempt, AttemptEnd end, long now) {
         UpstreamState upstream = attempt.upstream;
         switch (end.outcome()) {
-            case OK -> recordSuccess(request, attempt, (double) end.duration(), now);
-            case TIMEOUT, CANCELLED -> recordNoResponse(request, attempt, end.duration(), now);
+            case OK -> recordSuccess(request, attempt, (double) end.durationMicros(), now);
+            case TIMEOUT, CANCELLED -> recordNoResponse(request, attempt, end.durationMicros(), now);
             case CONNECT_FAILED -> {
                 // Without a response since the attempt was sent it is down; else it is out of connections.
                 if (upstream.lastResponseAt < attempt.sentAt) {
@@ -321,7 +327,7 @@
         meanResponseTime = MovingAverage.next(meanResponseTime, duration, FLEET_SMOOTHING);
         double waited = ConcurrencyLimits.waitingTime(upstream, request, duration, now);
         double wait = upstream.reportsCapacity(now) ? 0 : waited; // then a long response was long work
-        ConcurrencyLimits.adjust(attempt, wait, request.requestClass.latencyObjective(), now);
+        ConcurrencyLimits.adjust(attempt, wait, request.requestClass.latencyObjectiveMicros(), now);
         backOff(upstream, duration, now);
         int index = request.request.classIndex();
         classResponseTimes[index] = MovingAverage.next(classResponseTimes[index], duration, FLEET_SMOOTHING);
@@ -334,10 +340,10 @@
         }
         UpstreamState upstream = attempt.upstream;
         double wait = duration - ConcurrencyLimits.hintedTime(request, upstream.leastServiceTime);
-        ConcurrencyLimits.adjust(attempt, wait, request.requestClass.latencyObjective(), now);
+        ConcurrencyLimits.adjust(attempt, wait, request.requestClass.latencyObjectiveMicros(), now);
         backOff(upstream, (double) duration, now);
         if (duration > meanServiceTime * slowness(upstream, now)) {
-            upstream.serviceTime = duration; // overloaded upstreams send no reports
+            upstream.serviceTimeMicros = duration; // overloaded upstreams send no reports
             upstream.serviceTimeAt = now;
         }
     }
@@ -389,13 +395,14 @@
 
     /** What other balancers have in flight there: as last reported, fading to the mean. */
     private double othersInFlight(UpstreamState upstream, long now) {
-        return meanActive + confidence(upstream.reportedAt, now) * (upstream.reportedActive - meanActive);
+        double confidence = confidence(upstream.reportedAtMicros, now);
+        return meanActive + confidence * (upstream.reportedActive - meanActive);
     }
 
     /** How much longer its service takes than the mean; concurrent requests share cores and show in it. */
     private double slowness(UpstreamState upstream, long now) {
-        boolean known = upstream.serviceTime > 0 && meanServiceTime > 0;
-        double ratio = known ? upstream.serviceTime / meanServiceTime : 1;
+        boolean known = upstream.serviceTimeMicros > 0 && meanServiceTime > 0;
+        double ratio = known ? upstream.serviceTimeMicros / meanServiceTime : 1;
         return Math.pow(ratio, confidence(upstream.serviceTimeAt, now));
     }
 
@@ -522,7 +529,8 @@
             if (end.outcome() == Outcome.REJECTED) {
                 admission.adjust(AdmissionControl.REJECTED_OBJECTIVE_SHARE);
             } else if (!end.outcome().neverRan && !request.request.bodyPending()) {
-                admission.adjust((double) end.duration() / request.requestClass.latencyObjective());
+                double objective = request.requestClass.latencyObjectiveMicros();
+                admission.adjust(end.durationMicros() / objective);
             }
         }
         request.ended |= end.concluded();
@@ -667,11 +675,12 @@
     private double warmUpFactor(UpstreamState upstream, long now) {
         long age = now - upstream.slowStartBeganAt;
         PlatformRules rules = settings.rules();
-        if (upstream.slowStartBeganAt <= 0 || age >= rules.slowStartTime() || rules.slowStartTime() <= 0) {
+        long slowStartTime = rules.slowStartTimeMicros();
+        if (upstream.slowStartBeganAt <= 0 || age >= slowStartTime || slowStartTime <= 0) {
             return 1;
         }
         double initial = rules.initialCapacity();
-        return initial + (1 - initial) * Math.max(0, age) / rules.slowStartTime();
+        return initial + (1 - initial) * Math.max(0, age) / slowStartTime;
     }
 
     /**
@@ -697,10 +706,11 @@
         if (warmUpFactor(upstream, now) >= 1) {
             return;
         }
-        SlowStartQuota quota = plans.slowStartQuota(upstream.id, upstream.launchedAt());
-        long window = settings.rules().overloadWindow();
+        SlowStartQuota quota = plans.slowStartQuota(upstream.id, upstream.launchedAtMicros());
+        long window = settings.rules().overloadWindowMicros();
         double own = slowStartRate(upstream, now);
-        upstream.slowStart.refill(now, own, quota, plans.ownQuotaBlockedUntil(), window, MIN_BUCKET_SIZE);
+        long blockedUntil = plans.ownQuotaBlockedUntilMicros();
+        upstream.slowStart.refill(now, own, quota, blockedUntil, window, MIN_BUCKET_SIZE);
     }
 
     /** In mean requests, and one at least: small hints understate. */
@@ -742,10 +752,10 @@
         if (upstream == null) {
             return;
         }
-        if (view.launchedAt() > upstream.launchedAt()
-                && view.launchedAt() <= now + settings.rules().slowStartTime()) {
-            upstream.notifiedLaunchAt = view.launchedAt(); // the endpoint list will follow
-            upstream.slowStartBeganAt = launchTimes.slowStartBegan(view.id(), view.launchedAt(), now);
+        if (view.launchedAtMicros() > upstream.launchedAtMicros()
+                && view.launchedAtMicros() <= now + settings.rules().slowStartTimeMicros()) {
+            upstream.notifiedLaunchAt = view.launchedAtMicros(); // the endpoint list will follow
+            upstream.slowStartBeganAt = launchTimes.slowStartBegan(view.id(), view.launchedAtMicros(), now);
             upstream.slowStart = new SlowStartBucket(0, now);
         }
         upstream.plannedDraining = view.draining();
@@ -781,14 +791,14 @@
                     upstream.id,
                     upstream.entry.zone(),
                     upstream.entry.state(),
-                    upstream.launchedAt(),
+                    upstream.launchedAtMicros(),
                     upstream.inFlight,
                     upstream.attemptsSent,
                     upstream.weight,
                     upstream.limit,
                     reported ? upstream.report.utilisation() : Double.NaN,
                     reported ? upstream.report.waiting() : Double.NaN,
-                    reported ? upstream.reportedAt : 0,
+                    reported ? upstream.reportedAtMicros : 0,
                     OutlierDetection.isEjected(upstream, now) || cordoned.containsKey(upstream.id),
                     slowStart ? slowStartRate(upstream, now) * MICROS_PER_SECOND : 0));
         }
--- a/src/main/java/sedgeyoke/proxy/BalancerConfig.java
+++ b/src/main/java/sedgeyoke/proxy/BalancerConfig.java
@@ -149,8 +149,8 @@
             throw new InvalidConfigException("configuration: " + e.getMessage());
         }
         Settings settings = instanceSettings.settings();
-        require(settings.limits().connectTimeout() > 0, "settings.ceilings.connect-timeout-s");
-        require(settings.limits().idleTimeout() > 0, "settings.ceilings.conn-idle-s");
+        require(settings.limits().connectTimeoutMicros() > 0, "settings.ceilings.connect-timeout-s");
+        require(settings.limits().idleTimeoutMicros() > 0, "settings.ceilings.conn-idle-s");
         require(!instanceSettings.classNames().contains(""), "settings.classes[].name");
         unsupported(settings.limits().healthChecks(), "ceilings.probes");
         unsupported(settings.reports() == Reports.BY_HEALTH_CHECK, "report.via");
--- a/src/main/java/sedgeyoke/proxy/DiscoveryTimings.java
+++ b/src/main/java/sedgeyoke/proxy/DiscoveryTimings.java
@@ -57,7 +57,7 @@
                     POLLED_COMPLETE_LIST_SILENCE,
                     OVERDUE);
         }
-        int share = (int) Math.min(MAX_PUSHED, settings.rules().drainGrace() / 1_000 / SHARE_OF_GRACE);
+        int share = (int) Math.min(MAX_PUSHED, settings.rules().drainGraceMicros() / 1_000 / SHARE_OF_GRACE);
         int silence = Math.max(MIN_SILENCE, share);
         return new DiscoveryTimings(
                 Math.max(MIN_WATCH_WAIT, share),
--- a/src/main/java/sedgeyoke/proxy/ExchangeTable.java
+++ b/src/main/java/sedgeyoke/proxy/ExchangeTable.java
@@ -78,7 +78,7 @@
         // The budget counts from the last byte; until that has arrived, the limits on uploads hold.
         long uploadMicros = exchange.body.ended() ? 0 : bodies.longestUpload();
         long leftMicros = Math.min(
-                request.timeLeft()
+                request.timeLeftMicros()
                         + uploadMicros
                         - REQUEST_TRANSIT_MICROS
                         - exchange.waitedMicros
@@ -268,8 +268,8 @@
         attempt.requestCompleteTimeMicros = clock.now();
         if (!exchange.answered && exchange.deadlineTimer != null) {
             exchange.deadlineTimer.cancel(false);
-            long leftMicros =
-                    Math.min(exchange.request.timeLeft() - REQUEST_TRANSIT_MICROS, lastResponseMicros - clock.now());
+            long leftMicros = Math.min(
+                    exchange.request.timeLeftMicros() - REQUEST_TRANSIT_MICROS, lastResponseMicros - clock.now());
             exchange.deadlineMicros = clock.now() + leftMicros;
             startDeadlineTimer(exchange, exchange.deadlineMicros - clock.now());
         }
@@ -347,7 +347,7 @@
         }
         return exchange.attempts.stream()
                 .filter(attempt -> attempt.mayHaveRun)
-                .mapToLong(attempt -> attempt.startTimeMicros + requestClass.deduplicationWindow())
+                .mapToLong(attempt -> attempt.startTimeMicros + requestClass.deduplicationWindowMicros())
                 .min()
                 .orElse(Long.MAX_VALUE);
     }
@@ -395,7 +395,7 @@
         }
         return Math.min(
                 advisedMicros > 0 ? advisedMicros : DEFAULT_RETRY_AFTER_MICROS,
-                settings.limits().maxRetryAfter());
+                settings.limits().maxRetryAfterMicros());
     }
 
     /** Removes an exchange that is answered and whose attempts have all ended. */
--- a/src/main/java/sedgeyoke/proxy/JitWarmUp.java
+++ b/src/main/java/sedgeyoke/proxy/JitWarmUp.java
@@ -89,7 +89,7 @@
     public static int requests(BalancerConfig config) {
         LoadBalancingPolicy.Settings settings = config.instanceSettings().settings();
         long aim = settings.classes().stream()
-                .mapToLong(LoadBalancingPolicy.RequestClass::latencyObjective)
+                .mapToLong(LoadBalancingPolicy.RequestClass::latencyObjectiveMicros)
                 .min()
                 .orElse(0);
         double load = config.known().members().size() * 1e6 / (Math.max(1, aim) * (double) settings.groupSize());
--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -193,7 +193,7 @@
     /** The longest that clients wait for a response, in microseconds, as far as the platform waits for it. */
     long longestDeadline() {
         long longest = settings.classes().stream()
-                .mapToLong(LoadBalancingPolicy.RequestClass::clientTimeout)
+                .mapToLong(LoadBalancingPolicy.RequestClass::clientTimeoutMicros)
                 .max()
                 .orElse(0);
         return Math.min(MAX_DEADLINE_MICROS, longest);
--- a/src/main/java/sedgeyoke/proxy/UpstreamConnectionPool.java
+++ b/src/main/java/sedgeyoke/proxy/UpstreamConnectionPool.java
@@ -52,8 +52,8 @@
         this.metrics = metrics;
         this.maxConnections = maxConnections;
         this.maxIdleMicros =
-                (long) (IDLE_TIME_SHARE * context.settings().limits().idleTimeout());
-        long connectTimeoutMillis = context.settings().limits().connectTimeout() / 1_000;
+                (long) (IDLE_TIME_SHARE * context.settings().limits().idleTimeoutMicros());
+        long connectTimeoutMillis = context.settings().limits().connectTimeoutMicros() / 1_000;
         this.bootstrap = transport.client(context.loop()).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
                 Math.max(1, connectTimeoutMillis));
         context.loop()
@@ -91,12 +91,12 @@
             endpoints.put(id, endpoint);
         }
         boolean wasReady = endpoint.isReady();
-        if (known && endpoint.launchTimeMicros() != member.upstream().launchedAt()) {
+        if (known && endpoint.launchTimeMicros() != member.upstream().launchedAtMicros()) {
             changes.restarted(id);
         }
         endpoint.update(
                 transport.at(member.address()),
-                member.upstream().launchedAt(),
+                member.upstream().launchedAtMicros(),
                 member.upstream().state() == State.READY);
         endpoint.updateReadiness(cordoned.contains(id));
         if (endpoint.isReady() && !wasReady) {
--- a/src/main/java/sedgeyoke/proxy/UpstreamRequests.java
+++ b/src/main/java/sedgeyoke/proxy/UpstreamRequests.java
@@ -31,7 +31,7 @@
     /** The head of a request whose body follows in parts; it says how long the body is if the client did. */
     static HttpRequest streamingHead(Exchange exchange) {
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, exchange.method, exchange.uri);
-        head.headers().set(exchange.headers).set(BUDGET_HEADER, exchange.request.timeLeft() / 1_000);
+        head.headers().set(exchange.headers).set(BUDGET_HEADER, exchange.request.timeLeftMicros() / 1_000);
         if (exchange.contentLength >= 0) {
             head.headers().set(HttpHeaderNames.CONTENT_LENGTH, exchange.contentLength);
         } else {
--- a/src/main/java/sedgeyoke/serve/OptionalFeatures.java
+++ b/src/main/java/sedgeyoke/serve/OptionalFeatures.java
@@ -77,7 +77,7 @@
         }
         LoadBalancingPolicy.Settings settings = config.instanceSettings().settings();
         double minGrant =
-                MIN_GRANT_REQUESTS * 1e6 / Math.max(1, settings.rules().overloadWindow());
+                MIN_GRANT_REQUESTS * 1e6 / Math.max(1, settings.rules().overloadWindowMicros());
         Follower.Identity self = new Follower.Identity(
                 config.name(),
                 new SecureRandom().nextLong() | 1,
--- a/src/main/java/sedgeyoke/simulation/PrequalPolicy.java
+++ b/src/main/java/sedgeyoke/simulation/PrequalPolicy.java
@@ -80,7 +80,7 @@
         if (pool.size() == POOL_SIZE) {
             pool.remove(0);
         }
-        pool.add(new Probe(upstream, now, load.active(), load.serviceTime() * (1 + load.active())));
+        pool.add(new Probe(upstream, now, load.active(), load.serviceTimeMicros() * (1 + load.active())));
         recentInFlight[probesReceived++ % QUANTILE_WINDOW] = load.active();
     }
 
--- a/src/main/java/sedgeyoke/simulation/SimulatedDiscovery.java
+++ b/src/main/java/sedgeyoke/simulation/SimulatedDiscovery.java
@@ -27,7 +27,7 @@
 
         /** Whether another process is there: the upstream has moved or was restarted. */
         boolean isReplacedBy(Endpoint other) {
-            return address != other.address || upstream.launchedAt() != other.upstream.launchedAt();
+            return address != other.address || upstream.launchedAtMicros() != other.upstream.launchedAtMicros();
         }
 
         private static Endpoint of(SimulatedUpstream upstream, State state) {
@@ -40,7 +40,7 @@
                             zone,
                             state,
                             1,
-                            upstream.model().launchedAt()),
+                            upstream.model().launchedAtMicros()),
                     upstream.address());
         }
     }
--- a/src/main/java/sedgeyoke/simulation/SimulatedForwarder.java
+++ b/src/main/java/sedgeyoke/simulation/SimulatedForwarder.java
@@ -130,7 +130,7 @@
         deliver(() -> policy.start(localTime()));
         discovery.deliverAll();
         plannerClient.start(
-                spec.seed() * 31 + process.incarnation(), settings.rules().overloadWindow());
+                spec.seed() * 31 + process.incarnation(), settings.rules().overloadWindowMicros());
     }
 
     /** SIGKILL: exchanges are lost, and their clients' connections are reset. */
@@ -234,7 +234,7 @@
         }
         process.execute(incarnation, () -> {
             Request request = exchange.request();
-            long timeLeftMicros = request.timeLeft() - INBOUND_DELAY_MICROS - waitedMicros;
+            long timeLeftMicros = request.timeLeftMicros() - INBOUND_DELAY_MICROS - waitedMicros;
             exchange.setDeadline(context.events.now() + timeLeftMicros);
             exchanges.put(exchange.id(), exchange);
             process.schedule(timeLeftMicros - DEADLINE_MARGIN_MICROS, () -> expire(exchange));
@@ -335,7 +335,7 @@
         finish(
                 request,
                 SimulatedClients.Answer.REJECTED,
-                limits.retryAfter() ? Math.min(retryAfterMicros, limits.maxRetryAfter()) : 0);
+                limits.retryAfter() ? Math.min(retryAfterMicros, limits.maxRetryAfterMicros()) : 0);
     }
 
     @Override
--- a/src/main/java/sedgeyoke/simulation/SlowStartMeasure.java
+++ b/src/main/java/sedgeyoke/simulation/SlowStartMeasure.java
@@ -21,9 +21,9 @@
     private final Map<String, RequestWindow> windows = new LinkedHashMap<>();
 
     /** Identifies one process of an upstream. */
-    private record StartKey(String upstream, long launchedAt) {
+    private record StartKey(String upstream, long launchedAtMicros) {
         static StartKey of(SimulatedUpstream upstream) {
-            return new StartKey(upstream.id(), upstream.model().launchedAt());
+            return new StartKey(upstream.id(), upstream.model().launchedAtMicros());
         }
     }
 
@@ -31,11 +31,11 @@
     private static final class ColdStart {
         private static final long NOT_YET = Long.MAX_VALUE;
 
-        private final long launchedAt;
+        private final long launchedAtMicros;
         private long completedAtMicros = NOT_YET;
 
-        ColdStart(long launchedAt) {
-            this.launchedAt = launchedAt;
+        ColdStart(long launchedAtMicros) {
+            this.launchedAtMicros = launchedAtMicros;
         }
     }
 
@@ -70,9 +70,9 @@
                 totalReceived += window.received();
                 totalCapacity += upstream.model().spec().capacity();
             }
-            long launchedAt = upstream.model().launchedAt();
-            if (launchedAt > SimulationContext.START) {
-                starts.computeIfAbsent(StartKey.of(upstream), key -> new ColdStart(launchedAt));
+            long launchedAtMicros = upstream.model().launchedAtMicros();
+            if (launchedAtMicros > SimulationContext.START) {
+                starts.computeIfAbsent(StartKey.of(upstream), key -> new ColdStart(launchedAtMicros));
             }
         }
         for (SimulatedUpstream upstream : upstreams.running()) {
@@ -84,7 +84,7 @@
     private void completeIfWarm(SimulatedUpstream upstream, double entitled) {
         ColdStart start = starts.get(StartKey.of(upstream));
         long now = context.events.now();
-        boolean fullWindow = start != null && now - start.launchedAt >= WINDOW_SAMPLES * INTERVAL_MICROS;
+        boolean fullWindow = start != null && now - start.launchedAtMicros >= WINDOW_SAMPLES * INTERVAL_MICROS;
         if (fullWindow
                 && start.completedAtMicros == ColdStart.NOT_YET
                 && entitled > 0
@@ -98,7 +98,7 @@
         List<Double> durations = new ArrayList<>();
         for (ColdStart start : starts.values()) {
             long endMicros = Math.min(start.completedAtMicros, context.events.now());
-            durations.add((endMicros - start.launchedAt) / 1e6);
+            durations.add((endMicros - start.launchedAtMicros) / 1e6);
         }
         return durations;
     }
--- a/src/main/java/sedgeyoke/simulation/UpstreamTransport.java
+++ b/src/main/java/sedgeyoke/simulation/UpstreamTransport.java
@@ -44,9 +44,9 @@
         this.upstreams = upstreams;
         this.forwarder = forwarder;
         this.zone = zone;
-        this.connectTimeoutMicros = limits.connectTimeout();
+        this.connectTimeoutMicros = limits.connectTimeoutMicros();
         this.results = results;
-        this.pool = new SimulatedConnectionPool(context.events, limits.idleTimeout());
+        this.pool = new SimulatedConnectionPool(context.events, limits.idleTimeoutMicros());
     }
 
     /** Attempts that were sent. */
--- a/src/main/java/sedgeyoke/standin/DiscoveryStandin.java
+++ b/src/main/java/sedgeyoke/standin/DiscoveryStandin.java
@@ -65,7 +65,7 @@
 
     /** A node in the endpoint list, with the revision of its latest change. */
     private record Member(
-            String id, String address, int zone, int kind, String phase, long launchedAt, long revision) {}
+            String id, String address, int zone, int kind, String phase, long launchedAtMicros, long revision) {}
 
     DiscoveryStandin(EventLoop loop, LongSupplier clock, InvariantChecker checker, SiteModel site) {
         this.loop = loop;
@@ -93,13 +93,13 @@
 
     /** Sets the phase of a node, which agents learn after their delay. */
     void set(OrderNode node, String phase) {
-        set(node.spec(), node.address(), node.model().launchedAt(), phase);
+        set(node.spec(), node.address(), node.model().launchedAtMicros(), phase);
     }
 
     /** The same for a node that is not an {@link OrderNode}. */
-    void set(SiteModel.NodeSpec spec, String address, long launchedAt, String phase) {
+    void set(SiteModel.NodeSpec spec, String address, long launchedAtMicros, String phase) {
         revision++;
-        Member member = new Member(spec.id(), address, spec.zone(), spec.kind(), phase, launchedAt, revision);
+        Member member = new Member(spec.id(), address, spec.zone(), spec.kind(), phase, launchedAtMicros, revision);
         members.put(member.id(), member);
         completeLists.put(revision, list(-1, revision));
         if (completeLists.size() > REMEMBERED_LISTS) {
@@ -159,7 +159,7 @@
                         .put("cell", member.zone())
                         .put("phase", member.phase())
                         .put("size", 1.0)
-                        .put("up_since_ms", member.launchedAt() / 1_000);
+                        .put("up_since_ms", member.launchedAtMicros() / 1_000);
             }
         }
         return root.toString();
--- a/src/test/java/sedgeyoke/plan/PlanSimulation.java
+++ b/src/test/java/sedgeyoke/plan/PlanSimulation.java
@@ -48,7 +48,7 @@
     }
 
     /** Discovery's message that an upstream was restarted, which a forwarder receives at {@code dueMicros}. */
-    private record RestartEvent(long dueMicros, int upstream, long launchedAt) {}
+    private record RestartEvent(long dueMicros, int upstream, long launchedAtMicros) {}
 
     /** Tokens that a forwarder spent on an upstream at one time. */
     private record Spending(long atMicros, double tokens) {}
@@ -166,7 +166,7 @@
     private final class ForwarderProcess extends NetworkProcess {
         private final List<RestartEvent> restartEvents = new ArrayList<>();
         /** When each upstream was started, as far as this forwarder knows; 0 for long ago. */
-        private final long[] launchedAt = new long[UPSTREAMS];
+        private final long[] launchedAtMicros = new long[UPSTREAMS];
 
         private SlowStartBucket[] buckets;
         private Follower follower;
@@ -199,11 +199,11 @@
         }
 
         private boolean isCold(int upstream) {
-            return launchedAt[upstream] > 0 && now - launchedAt[upstream] < SLOW_START_MICROS;
+            return launchedAtMicros[upstream] > 0 && now - launchedAtMicros[upstream] < SLOW_START_MICROS;
         }
 
         private SlowStartQuota quota(int upstream) {
-            return plan.slowStartQuota("n" + upstream, launchedAt[upstream]);
+            return plan.slowStartQuota("n" + upstream, launchedAtMicros[upstream]);
         }
 
         /** Refills the buckets by the old plan and from then on by the new one. */
@@ -223,7 +223,12 @@
 
         private void refillBucket(int upstream) {
             buckets[upstream].refill(
-                    clock(), OWN_QUOTA / 1e6, quota(upstream), plan.ownQuotaBlockedUntil(), faults.bucketMicros, 0);
+                    clock(),
+                    OWN_QUOTA / 1e6,
+                    quota(upstream),
+                    plan.ownQuotaBlockedUntilMicros(),
+                    faults.bucketMicros,
+                    0);
         }
 
         @Override
@@ -243,8 +248,8 @@
 
         private boolean handleIfDue(RestartEvent restart) {
             boolean due = restart.dueMicros() <= now;
-            if (due && restart.launchedAt() > launchedAt[restart.upstream()]) {
-                launchedAt[restart.upstream()] = restart.launchedAt();
+            if (due && restart.launchedAtMicros() > launchedAtMicros[restart.upstream()]) {
+                launchedAtMicros[restart.upstream()] = restart.launchedAtMicros();
                 buckets[restart.upstream()] = new SlowStartBucket(0, clock());
             }
             return due;
@@ -278,7 +283,7 @@
                     "n" + upstream,
                     0,
                     LoadBalancingPolicy.State.READY,
-                    launchedAt[upstream],
+                    launchedAtMicros[upstream],
                     1,
                     now / 10_000,
                     1,
@@ -297,11 +302,12 @@
             }
             SlowStartQuota quota = quota(upstream);
             long at = clock();
-            boolean ownUsable = at >= plan.ownQuotaBlockedUntil() && (quota == null || at >= quota.delegatedUntil());
+            boolean ownUsable =
+                    at >= plan.ownQuotaBlockedUntilMicros() && (quota == null || at >= quota.delegatedUntilMicros());
             double granted = quota == null
                     ? 0
                     : quota.grants().stream()
-                            .filter(grant -> at < grant.expiresAt())
+                            .filter(grant -> at < grant.expiresAtMicros())
                             .mapToDouble(LoadBalancingPolicy.SlowStartGrant::rate)
                             .sum();
             return new UsableQuota(ownUsable ? OWN_QUOTA : 0, granted);
--- a/src/test/java/sedgeyoke/plan/PlannerTest.java
+++ b/src/test/java/sedgeyoke/plan/PlannerTest.java
@@ -117,7 +117,7 @@
         PlanMessage.View view =
                 planFor("a", planner.createPlans(SECOND)).views().get(0);
         assertFalse(view.draining());
-        assertEquals(60, view.launchedAt());
+        assertEquals(60, view.launchedAtMicros());
     }
 
     @ParameterizedTest
@@ -232,7 +232,8 @@
         assertEquals("p3", follower.followedPlanner(now));
         long later = now + PlannerSelection.PLANNER_TIMEOUT_MICROS + 1;
         assertNull(follower.followedPlanner(later));
-        assertEquals(now, follower.currentPlan(later).lastPlannerContact(), "plans fade from the last contact on");
+        assertEquals(
+                now, follower.currentPlan(later).lastPlannerContactMicros(), "plans fade from the last contact on");
     }
 
     private static LoadBalancingPolicy.Summary coldSummary() {
@@ -255,12 +256,12 @@
                 follower.createReport(now, "p1", coldSummary()).deposits());
         assertEquals(
                 now + LEASE,
-                follower.currentPlan(now).slowStartQuotas().get("u").delegatedUntil());
+                follower.currentPlan(now).slowStartQuotas().get("u").delegatedUntilMicros());
         assertEquals(
                 now + LEASE,
-                follower.currentPlan(now + LEASE - 1).slowStartQuotas().get("u").delegatedUntil());
+                follower.currentPlan(now + LEASE - 1).slowStartQuotas().get("u").delegatedUntilMicros());
         assertNull(follower.currentPlan(now + LEASE).slowStartQuotas().get("u"));
-        assertEquals(LEASE, follower.currentPlan(now).ownQuotaBlockedUntil());
+        assertEquals(LEASE, follower.currentPlan(now).ownQuotaBlockedUntilMicros());
     }
 
     @Test
--- a/src/test/java/sedgeyoke/plan/remote/PlannerConnectionTest.java
+++ b/src/test/java/sedgeyoke/plan/remote/PlannerConnectionTest.java
@@ -447,7 +447,7 @@
         loop.execute(client::start);
         await(
                 "quiet from the start",
-                () -> port.plan.get() != null && port.plan.get().ownQuotaBlockedUntil() > now());
+                () -> port.plan.get() != null && port.plan.get().ownQuotaBlockedUntilMicros() > now());
         await(
                 "delegated and granted",
                 () -> port.plan.get().slowStartQuotas().containsKey("u")
--- a/src/test/java/sedgeyoke/policy/CordonTest.java
+++ b/src/test/java/sedgeyoke/policy/CordonTest.java
@@ -47,7 +47,7 @@
         assertEquals(0, sentTo("u1"), "also after it was removed from the list");
         host.balancer.cordonsUpdated(host.now, Map.of());
         assertFalse(status("u1").ejected());
-        host.advance(host.settings().rules().slowStartTime());
+        host.advance(host.settings().rules().slowStartTimeMicros());
         assertTrue(sentTo("u1") > 0);
     }
 
@@ -57,22 +57,23 @@
         host.balancer.cordonsUpdated(host.now, Map.of("u1", host.now));
         host.advance(5 * PolicyHarness.SECOND);
         host.balancer.cordonsUpdated(host.now, Map.of());
-        assertEquals(host.now, status("u1").launchedAt());
+        assertEquals(host.now, status("u1").launchedAtMicros());
         assertTrue(status("u1").slowStartQuota() > 0, "it starts slowly");
-        long launchedAt = host.now - 2 * PolicyHarness.SECOND;
-        host.change(PolicyHarness.upstream(1, State.READY, launchedAt));
-        assertEquals(launchedAt, status("u1").launchedAt(), "a later entry of the list has the true launch");
+        long launchedAtMicros = host.now - 2 * PolicyHarness.SECOND;
+        host.change(PolicyHarness.upstream(1, State.READY, launchedAtMicros));
+        assertEquals(
+                launchedAtMicros, status("u1").launchedAtMicros(), "a later entry of the list has the true launch");
     }
 
     @Test
     void aRestartInTheListIsItsLaunch() {
         host.balancer.cordonsUpdated(host.now, Map.of("u1", host.now));
         host.advance(PolicyHarness.SECOND);
-        long launchedAt = host.now;
-        host.change(PolicyHarness.upstream(1, State.READY, launchedAt));
+        long launchedAtMicros = host.now;
+        host.change(PolicyHarness.upstream(1, State.READY, launchedAtMicros));
         host.advance(5 * PolicyHarness.SECOND);
         host.balancer.cordonsUpdated(host.now, Map.of());
-        assertEquals(launchedAt, status("u1").launchedAt());
+        assertEquals(launchedAtMicros, status("u1").launchedAtMicros());
     }
 
     @Test
@@ -82,7 +83,7 @@
         host.balancer.cordonsUpdated(host.now, Map.of("u1", host.now, "nonesuch", host.now));
         host.balancer.cordonsUpdated(host.now, Map.of());
         assertEquals(before, status("u2"));
-        assertEquals(0, status("u2").launchedAt());
+        assertEquals(0, status("u2").launchedAtMicros());
     }
 
     /** Without upstreams requests are queued, and rejected in time. */
@@ -91,7 +92,7 @@
         host.balancer.cordonsUpdated(host.now, Map.of("u0", host.now, "u1", host.now, "u2", host.now));
         host.advance(PolicyHarness.SECOND);
         host.change(PolicyHarness.upstream(2, State.READY, host.now));
-        host.advance(host.settings().rules().slowStartTime()); // its slow start is over
+        host.advance(host.settings().rules().slowStartTimeMicros()); // its slow start is over
         String waiting = host.request(0, 2 * PolicyHarness.SECOND);
         assertNull(host.lastUpstream(waiting));
         host.balancer.cordonsUpdated(host.now, Map.of("u0", host.now, "u1", host.now));
--- a/src/test/java/sedgeyoke/policy/InvariantRecorder.java
+++ b/src/test/java/sedgeyoke/policy/InvariantRecorder.java
@@ -66,7 +66,7 @@
         RequestRecord recorded = new RequestRecord();
         recorded.request = request;
         recorded.requestClass = settings.classes().get(request.classIndex());
-        recorded.deadline = now + request.timeLeft();
+        recorded.deadline = now + request.timeLeftMicros();
         requests.put(request.id(), recorded);
     }
 
@@ -88,12 +88,12 @@
             boolean near = recorded.requestClass.scope() == Scope.ALL
                     || recorded.requestClass.scope() == Scope.ZONE && s.upstream.zone() == upstream.zone()
                     || recorded.requestClass.scope() == Scope.CELL && s.upstream.cell() == upstream.cell();
-            if (!near || now - s.at > recorded.requestClass.deduplicationWindow()) {
+            if (!near || now - s.at > recorded.requestClass.deduplicationWindowMicros()) {
                 violations.add("2: idempotency key used outside its scope or window " + id);
             }
         }
         Long closed = unavailableSince.get(upstreamId);
-        if (closed != null && now - closed > settings.rules().drainGrace()) {
+        if (closed != null && now - closed > settings.rules().drainGraceMicros()) {
             violations.add("3: sent to a drained upstream " + upstreamId);
         }
         checkSlowStart(now, upstream, recorded.request.expectedWork());
@@ -103,21 +103,21 @@
     }
 
     private void checkSlowStart(long now, Upstream upstream, long work) {
-        long age = now - upstream.launchedAt();
-        if (upstream.launchedAt() <= 0 || age >= settings.rules().slowStartTime()) {
+        long age = now - upstream.launchedAtMicros();
+        if (upstream.launchedAtMicros() <= 0 || age >= settings.rules().slowStartTimeMicros()) {
             return;
         }
         Deque<long[]> window = slowStartSends.computeIfAbsent(upstream.id(), k -> new ArrayDeque<>());
         window.add(new long[] {now, work});
-        while (window.peek()[0] < now - settings.rules().overloadWindow()) {
+        while (window.peek()[0] < now - settings.rules().overloadWindowMicros()) {
             window.poll();
         }
         double start = settings.rules().initialCapacity();
-        double share = start + (1 - start) * age / settings.rules().slowStartTime();
+        double share = start + (1 - start) * age / settings.rules().slowStartTimeMicros();
         double budget = settings.rules().overloadMultiple()
                 * share
                 * fullCapacityPerMicro
-                * settings.rules().overloadWindow();
+                * settings.rules().overloadWindowMicros();
         if (window.stream().mapToLong(w -> w[1]).sum() > budget) {
             violations.add("4: slow-starting upstream overloaded " + upstream.id());
         }
@@ -170,7 +170,7 @@
     }
 
     private void checkDeadline(long now, String id, RequestRecord recorded) {
-        if (now > recorded.deadline + settings.rules().responseSlack()) {
+        if (now > recorded.deadline + settings.rules().responseSlackMicros()) {
             violations.add("1: no response in time " + id);
         }
     }
--- a/src/test/java/sedgeyoke/policy/PlanTest.java
+++ b/src/test/java/sedgeyoke/policy/PlanTest.java
@@ -27,11 +27,11 @@
     private static final int LAUNCHED_AT_STEP = 600;
 
     private static Plan plan(
-            long lastPlannerContact,
+            long lastPlannerContactMicros,
             List<UpstreamView> views,
             List<Double> zoneSpillover,
             Map<String, SlowStartQuota> quotas) {
-        return new Plan(lastPlannerContact, FADE, views, zoneSpillover, 0, quotas);
+        return new Plan(lastPlannerContactMicros, FADE, views, zoneSpillover, 0, quotas);
     }
 
     private static UpstreamView view(String id, double limit, boolean draining) {
--- a/src/test/java/sedgeyoke/policy/PolicyHarness.java
+++ b/src/test/java/sedgeyoke/policy/PolicyHarness.java
@@ -101,8 +101,8 @@
         return host;
     }
 
-    static Upstream upstream(int i, State state, long launchedAt) {
-        return new Upstream("u" + i, i % 3, 0, i % 2, state, 1, launchedAt);
+    static Upstream upstream(int i, State state, long launchedAtMicros) {
+        return new Upstream("u" + i, i % 3, 0, i % 2, state, 1, launchedAtMicros);
     }
 
     Settings settings() {
@@ -123,13 +123,13 @@
     }
 
     /** Class 0 is safe, 1 idempotent with a key, 2 unsafe. */
-    String request(int classIndex, long timeLeft) {
-        return request(classIndex, timeLeft, null, 20 * MILLI);
+    String request(int classIndex, long timeLeftMicros) {
+        return request(classIndex, timeLeftMicros, null, 20 * MILLI);
     }
 
-    String request(int classIndex, long timeLeft, String key, long work) {
+    String request(int classIndex, long timeLeftMicros, String key, long work) {
         String id = "r" + requestCount++;
-        Request request = new Request(id, classIndex, 0, key, work, timeLeft, false, clientsRetry);
+        Request request = new Request(id, classIndex, 0, key, work, timeLeftMicros, false, clientsRetry);
         if (checker != null) {
             checker.requestArrived(now, request);
         }
--- a/src/test/java/sedgeyoke/policy/RandomReplay.java
+++ b/src/test/java/sedgeyoke/policy/RandomReplay.java
@@ -48,7 +48,7 @@
 
     /** One upstream as the host simulates it: its fault and its slowness. */
     private static final class SimulatedUpstream {
-        long launchedAt;
+        long launchedAtMicros;
         int fault;
         int inFlight;
         final double slowness;
@@ -194,7 +194,7 @@
                 request.tenant(),
                 request.affinityKey(),
                 request.expectedWork(),
-                request.timeLeft(),
+                request.timeLeftMicros(),
                 request.write(),
                 request.retry(),
                 request.bodyPending());
@@ -259,7 +259,7 @@
             journal.put(load.utilisation());
             journal.put(load.active());
             journal.put(load.waiting());
-            journal.put(load.serviceTime());
+            journal.put(load.serviceTimeMicros());
         }
     }
 
@@ -277,8 +277,8 @@
         journal.note(Kind.ENDPOINTS, now, kind);
         for (int i = first; i < Math.min(KNOWN_UPSTREAMS, first + size); i++) {
             SimulatedUpstream simulatedUpstream = simulated.get(i);
-            simulatedUpstream.launchedAt =
-                    chance(0.4) ? now - random.nextLong(4 * SECOND) : simulatedUpstream.launchedAt;
+            simulatedUpstream.launchedAtMicros =
+                    chance(0.4) ? now - random.nextLong(4 * SECOND) : simulatedUpstream.launchedAtMicros;
             State state = kind == ListKind.CHANGES && chance(0.3) ? State.values()[1 + random.nextInt(2)] : State.READY;
             double rating = chance(0.1) ? IMPLAUSIBLE_NUMBERS[random.nextInt(4)] : 0.5 + random.nextDouble();
             Upstream entry = new Upstream(
@@ -288,12 +288,12 @@
                     i % 3,
                     state,
                     rating > 100 ? 100 : rating,
-                    simulatedUpstream.launchedAt);
+                    simulatedUpstream.launchedAtMicros);
             entries.add(entry);
             journal.put(entry.id());
             journal.put(state);
             journal.put(entry.rating());
-            journal.put(entry.launchedAt());
+            journal.put(entry.launchedAtMicros());
         }
         balancer.endpointsUpdated(now, kind, entries);
     }
@@ -332,44 +332,52 @@
         for (int zone = chance(0.3) ? 3 : 0; zone < settings.zones(); zone++) {
             zoneSpillover.add(chance(0.2) ? 0 : random.nextDouble());
         }
-        long lastPlannerContact = chance(0.05) ? 0 : now - random.nextLong(chance(0.1) ? 3 * SECOND : SECOND / 2);
-        long ownQuotaBlockedUntil = chance(0.2) ? now + random.nextLong(SECOND) : 0;
-        long fadeOutTime = oneOf(1, 2, 4) * SECOND;
+        long lastPlannerContactMicros = chance(0.05) ? 0 : now - random.nextLong(chance(0.1) ? 3 * SECOND : SECOND / 2);
+        long ownQuotaBlockedUntilMicros = chance(0.2) ? now + random.nextLong(SECOND) : 0;
+        long fadeOutTimeMicros = oneOf(1, 2, 4) * SECOND;
         journal.note(
                 Kind.PLAN,
                 now,
-                lastPlannerContact,
-                fadeOutTime,
-                ownQuotaBlockedUntil,
+                lastPlannerContactMicros,
+                fadeOutTimeMicros,
+                ownQuotaBlockedUntilMicros,
                 views.size(),
                 quotas.size(),
                 zoneSpillover.size());
         zoneSpillover.forEach(journal::put);
         balancer.planUpdated(
-                now, new Plan(lastPlannerContact, fadeOutTime, views, zoneSpillover, ownQuotaBlockedUntil, quotas));
+                now,
+                new Plan(
+                        lastPlannerContactMicros,
+                        fadeOutTimeMicros,
+                        views,
+                        zoneSpillover,
+                        ownQuotaBlockedUntilMicros,
+                        quotas));
     }
 
     private UpstreamView view(int i) {
         double limit = chance(0.2) ? Double.NaN : 10 * Math.max(0.01, random.nextDouble() - 0.05);
-        long launchedAt = chance(0.03) ? now + random.nextLong(2 * SECOND) - SECOND : simulated.get(i).launchedAt;
+        long launchedAtMicros =
+                chance(0.03) ? now + random.nextLong(2 * SECOND) - SECOND : simulated.get(i).launchedAtMicros;
         boolean draining = chance(0.1);
         journal.put(limit);
-        journal.put(launchedAt);
+        journal.put(launchedAtMicros);
         journal.put(draining);
-        return new UpstreamView("u" + i, limit, launchedAt, draining);
+        return new UpstreamView("u" + i, limit, launchedAtMicros, draining);
     }
 
     private SlowStartQuota quota(int i) {
-        long launchedAt = chance(0.8) ? simulated.get(i).launchedAt : now;
-        long delegatedUntil = chance(0.5) ? 0 : now + random.nextLong(2 * SECOND);
+        long launchedAtMicros = chance(0.8) ? simulated.get(i).launchedAtMicros : now;
+        long delegatedUntilMicros = chance(0.5) ? 0 : now + random.nextLong(2 * SECOND);
         List<SlowStartGrant> grants = new ArrayList<>();
         for (int n = random.nextInt(3); n > 0; n--) {
             grants.add(new SlowStartGrant(random.nextInt(20), now + random.nextLong(2 * SECOND)));
         }
-        journal.put(launchedAt);
-        journal.put(delegatedUntil);
+        journal.put(launchedAtMicros);
+        journal.put(delegatedUntilMicros);
         grants.forEach(grant -> journal.put(grant.rate()));
-        return new SlowStartQuota(launchedAt, delegatedUntil, grants);
+        return new SlowStartQuota(launchedAtMicros, delegatedUntilMicros, grants);
     }
 
     private void summary() {
@@ -381,14 +389,14 @@
                     status.id(),
                     status.zone(),
                     status.state(),
-                    status.launchedAt(),
+                    status.launchedAtMicros(),
                     status.inFlight(),
                     status.sent(),
                     status.weight(),
                     status.limit(),
                     status.utilisation(),
                     status.waiting(),
-                    status.reportedAt(),
+                    status.reportedAtMicros(),
                     status.ejected(),
                     status.slowStartQuota());
             values.forEach(journal::put);
--- a/src/test/java/sedgeyoke/proxy/ProxyCoreTest.java
+++ b/src/test/java/sedgeyoke/proxy/ProxyCoreTest.java
@@ -81,7 +81,7 @@
     void theDelayOfTheLoopIsDeductedFromTheBudget() throws Exception {
         AtomicLong left = new AtomicLong();
         try (Loopback lb = scripted((m, r) -> {
-                    left.set(r.timeLeft());
+                    left.set(r.timeLeftMicros());
                     m.actions.reject(r.id(), 0);
                 })
                 .start()) {
@@ -129,8 +129,8 @@
             assertEquals(200, Loopback.answer(client).status());
             Loopback.await("reported", () -> policy.ends.size() == 1);
             assertTrue(
-                    policy.ends.get(0).duration() < 1_000_000,
-                    "took " + policy.ends.get(0).duration());
+                    policy.ends.get(0).durationMicros() < 1_000_000,
+                    "took " + policy.ends.get(0).durationMicros());
         }
     }
 
