--- a/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
+++ b/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
@@ -339,8 +339,8 @@
 
     /**
      * The state of an upstream at this balancer. {@code sent} counts its attempts; {@code reportedAtMicros} is 0
-     * without a load report; {@code ejected} is set for cordoned upstreams too; {@code slowStartQuota} is our own one, in
-     * mean requests a second.
+     * without a load report; {@code ejected} is set for cordoned upstreams too; {@code slowStartQuota} is our own
+     * one, in mean requests a second.
      */
     record UpstreamStatus(
             String id,
