--- a/src/main/java/sedgeyoke/drill/DemoRun.java
+++ b/src/main/java/sedgeyoke/drill/DemoRun.java
@@ -102,7 +102,7 @@
         if (summary.ruleViolations() == 0) {
             out.println("all four rules kept");
         } else {
-            site.checker().violations().forEach(out::println);
+            site.checker().violationMessages().forEach(out::println);
             out.println("RULES BROKEN: " + summary.violations());
         }
         out.flush();
--- a/src/main/java/sedgeyoke/drill/PlannersRun.java
+++ b/src/main/java/sedgeyoke/drill/PlannersRun.java
@@ -86,7 +86,7 @@
         site.stopClients();
         InvariantChecker.Summary summary = site.summary();
         progress.accept(mode, describe(summary, utilisation));
-        List<String> violations = site.ask(site.checker()::violations);
+        List<String> violations = site.ask(site.checker()::violationMessages);
         violations.forEach(violation -> System.err.println(mode.label() + ": " + violation));
         proxies.forEach(ways -> ways.forEach(FaultProxy::close));
         double checkerStalledMs = site.ask(site.checker()::stalledMs);
--- a/src/main/java/sedgeyoke/drill/soak/SoakRun.java
+++ b/src/main/java/sedgeyoke/drill/soak/SoakRun.java
@@ -119,7 +119,7 @@
     }
 
     private Result result(InvariantChecker checker, EventLog events, List<String> failures) {
-        List<String> broken = new ArrayList<>(checker.violations());
+        List<String> broken = new ArrayList<>(checker.violationMessages());
         broken.addAll(failures);
         long pending = checker.pendingRequests();
         if (pending > 0) {
@@ -131,8 +131,7 @@
         }
         Map<String, Double> margins = new TreeMap<>();
         Map<String, List<Long>> histograms = new TreeMap<>();
-        for (Map.Entry<String, MarginHistogram> margin :
-                checker.margins().byName().entrySet()) {
+        for (Map.Entry<String, MarginHistogram> margin : checker.margins().entrySet()) {
             margins.put(margin.getKey(), margin.getValue().worst());
             histograms.put(margin.getKey(), margin.getValue().counts());
         }
--- a/src/main/java/sedgeyoke/simulation/Simulation.java
+++ b/src/main/java/sedgeyoke/simulation/Simulation.java
@@ -120,7 +120,7 @@
                 timeSeries.latency(),
                 summary.answers(),
                 summary.violations(),
-                context.checker.violations(),
+                context.checker.violationMessages(),
                 summary.warmUpPeak(),
                 slowStart.durationsSeconds(),
                 utilisation.mean(context.scenario.warmUpSeconds()),
--- a/src/main/java/sedgeyoke/standin/Clients.java
+++ b/src/main/java/sedgeyoke/standin/Clients.java
@@ -262,7 +262,7 @@
             long budgetMs = Math.max(1, (attempt.deadlineMicros() - clock.getAsLong()) / 1_000);
             boolean departs = departures.nextDouble() < departureShare;
             if (departs && leavesSilently) {
-                checker.clientLeft(attempt.id(), clock.getAsLong());
+                checker.clientDisconnected(attempt.id(), clock.getAsLong());
                 loop.schedule(() -> write(attempt, budgetMs), SENT_AFTER_LEAVING_MS, TimeUnit.MILLISECONDS);
                 return;
             }
@@ -306,7 +306,7 @@
         private void leaveIfCurrent(Attempt attempt) {
             if (attempt.equals(current)) {
                 current = null;
-                checker.clientLeft(attempt.id(), clock.getAsLong());
+                checker.clientDisconnected(attempt.id(), clock.getAsLong());
                 channel.close();
             }
         }
