--- a/src/main/java/sedgeyoke/drill/soak/Mistake.java
+++ b/src/main/java/sedgeyoke/drill/soak/Mistake.java
@@ -1,22 +1,22 @@
 package sedgeyoke.drill.soak;
 
 /**
- * Mistakes that are planted so that the judge can be judged: each breaks one rule, and a soak has to find it. They lie
- * in what the balancers are configured with or in what clients do, not in the program.
+ * Mistakes that are planted to test the checker: each breaks one rule, and a soak has to find it. They lie in what the
+ * balancers are configured with or in what clients do, not in the program.
  */
 enum Mistake {
     /** None. */
     NONE,
-    /** Agents never tell their balancers anything, and it counts as known. */
-    DRAINS_NOT_TOLD,
-    /** Balancers take upstreams that start for warm ones. */
+    /** Agents never announce changes to their balancers, and these count as notified. */
+    DRAINS_NOT_ANNOUNCED,
+    /** Balancers treat upstreams in slow start as warm. */
     NO_SLOW_START,
-    /** Balancers end at SIGTERM without answering what they hold. */
+    /** Balancers end at SIGTERM without answering what they have in flight. */
     REQUESTS_LOST,
-    /** Balancers take requests with an effect for harmless ones, and send them again. */
+    /** Balancers treat requests with an effect as safe, and retry them. */
     EFFECTS_REPEATED,
-    /** Clients leave, and their requests go out after that. */
-    SENT_AFTER_DEPARTURE,
-    /** Balancers take clients to have a second more than they have. */
+    /** Clients disconnect, and their requests are sent after that. */
+    SENT_AFTER_DISCONNECT,
+    /** Clients announce a second more than they have. */
     DEADLINES_TOO_LONG
 }
--- a/src/main/java/sedgeyoke/drill/soak/SoakBalancer.java
+++ b/src/main/java/sedgeyoke/drill/soak/SoakBalancer.java
@@ -115,7 +115,7 @@
             }
             Thread.sleep(5);
         }
-        site.setTakesConnections(name, true);
+        site.startConnectingTo(name);
     }
 
     private boolean listens() {
@@ -126,9 +126,9 @@
         }
     }
 
-    /** Spoils the next answers of the present agent. */
-    void spoilAnswers(List<AnswerFault> faults) {
-        site.spoilAnswers(agentName(agent), faults);
+    /** Makes the next answers of the present agent fail. */
+    void failDiscoveryAnswers(List<AnswerFault> faults) {
+        site.failDiscoveryAnswers(agentName(agent), faults);
     }
 
     /** Moves to the other agent with SIGHUP. */
@@ -163,7 +163,7 @@
             process.signal(Signal.TERMINATE);
         }
         boolean ended = process.awaitEnd(NEW_CONNECTIONS_MS);
-        site.setTakesConnections(name, false);
+        site.stopConnectingTo(name);
         ended |= process.awaitEnd(Math.max(1, (killAt - System.nanoTime()) / 1_000_000));
         if (!ended) {
             process.kill();
@@ -173,14 +173,17 @@
         return ended;
     }
 
-    /** Kills the process; {@code planned}: what it holds may be lost. */
-    void kill(boolean planned) throws InterruptedException {
-        if (planned) {
-            site.run(() -> site.checker().balancerKilled(name));
-        }
+    /** Kills the process; requests in flight may be lost. */
+    void killAnnounced() throws InterruptedException {
+        site.run(() -> site.checker().balancerKilled(name));
+        killUnannounced();
+    }
+
+    /** Kills the process without the checker's knowledge, so that a lost request is a violation. */
+    void killUnannounced() throws InterruptedException {
         process.kill();
         process.awaitEnd(MAX_DEADLINE_MS);
-        site.setTakesConnections(name, false);
+        site.stopConnectingTo(name);
         Thread.sleep(CLOSES_SEEN_MS);
         site.run(() -> site.checker().balancerRestarted(name));
     }
--- a/src/main/java/sedgeyoke/drill/soak/SoakFaults.java
+++ b/src/main/java/sedgeyoke/drill/soak/SoakFaults.java
@@ -185,7 +185,7 @@
         SoakBalancer one = balancers.get(random.nextInt(balancers.size()));
         events.add("SPOIL", faults + " at " + (everywhere ? "all" : one.name()));
         for (SoakBalancer balancer : everywhere ? balancers : List.of(one)) {
-            balancer.spoilAnswers(faults);
+            balancer.failDiscoveryAnswers(faults);
         }
         if (random.nextBoolean()) {
             drain();
@@ -247,7 +247,7 @@
                 balancer.moveDiscovery();
             }
             if (mistake == Mistake.REQUESTS_LOST) {
-                balancer.kill(false);
+                balancer.killUnannounced();
             } else if (!balancer.terminate(signals)) {
                 fail(balancer.name() + " had not ended by itself when SIGKILL came");
             }
@@ -263,7 +263,7 @@
         long downMillis = random.nextLong(1_000);
         events.add("KILL", balancer.name() + ", down for " + downMillis + " ms");
         later(0, () -> {
-            balancer.kill(true);
+            balancer.killAnnounced();
             restart(balancer, downMillis);
         });
     }
--- a/src/main/java/sedgeyoke/drill/soak/SoakRun.java
+++ b/src/main/java/sedgeyoke/drill/soak/SoakRun.java
@@ -17,7 +17,7 @@
 /** One run of a soak: starts a site and its balancers, injects what the seed draws, and says which rules broke. */
 final class SoakRun {
     private static final double[] ZONE_SHARES = {0.4, 0.3, 0.3};
-    private static final long POLL_TERM_MS = 6_000;
+    private static final long POLL_PROPAGATION_MILLIS = 6_000;
     private static final long DISCOVERY_DELAY_STEP_MS = 40;
     private static final long START_TIMEOUT_MS = 60_000;
     private static final long WARM_UP_MS = 1_000;
@@ -44,7 +44,7 @@
             Map<String, Double> margins,
             Map<String, List<Long>> histograms,
             Map<String, Integer> faults,
-            double judgeStalledMs,
+            double checkerStalledMs,
             List<String> broken,
             List<String> timeline) {}
 
@@ -52,7 +52,7 @@
         List<SoakBalancer> balancers = new ArrayList<>();
         try (Site site = new Site(plan.site(), ZONE_SHARES, plan.seed())) {
             if (plan.polled()) {
-                site.setPollTerm(POLL_TERM_MS);
+                site.setPollPropagation(POLL_PROPAGATION_MILLIS);
             }
             try {
                 startBalancers(site, folder, balancers);
@@ -86,7 +86,7 @@
 
     private Result runWith(Site site, List<SoakBalancer> balancers) throws IOException, InterruptedException {
         EventLog events = new EventLog(site::now);
-        site.setDepartureShare(plan.departures());
+        site.setDisconnectShare(plan.disconnectShare());
         plantBefore(site, balancers);
         site.startClients(plan.load() * plan.site().capacity());
         Thread.sleep(WARM_UP_MS);
@@ -110,10 +110,10 @@
 
     private void plantBefore(Site site, List<SoakBalancer> balancers) {
         switch (options.mistake()) {
-            case DRAINS_NOT_TOLD -> balancers.forEach(
-                    balancer -> balancer.spoilAnswers(Collections.nCopies(MANY, AnswerFault.SILENT)));
-            case SENT_AFTER_DEPARTURE -> site.setDepartureMistake();
-            case DEADLINES_TOO_LONG -> site.setBudgetMistake();
+            case DRAINS_NOT_ANNOUNCED -> balancers.forEach(
+                    balancer -> balancer.failDiscoveryAnswers(Collections.nCopies(MANY, AnswerFault.SILENT)));
+            case SENT_AFTER_DISCONNECT -> site.plantRequestsAfterDisconnect();
+            case DEADLINES_TOO_LONG -> site.plantExcessiveBudgets();
             default -> {}
         }
     }
--- a/src/main/java/sedgeyoke/standin/DiscoveryStandin.java
+++ b/src/main/java/sedgeyoke/standin/DiscoveryStandin.java
@@ -30,7 +30,7 @@
 /**
  * The discovery service, with an agent for each balancer, so that the {@link InvariantChecker} learns when which
  * balancer was notified of what: what an agent has counts as known to its balancer. An agent can be slower than others,
- * its answers can be spoilt, and all of them can be down.
+ * its answers can fail, and all of them can be down.
  */
 public final class DiscoveryStandin {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -61,7 +61,7 @@
     private boolean down;
     private boolean silent;
     /** How long a change may stay unknown to balancers that poll; 0 where agents push. */
-    private long pollTermMs;
+    private long pollPropagationMs;
 
     /** A node in the endpoint list, with the revision of its latest change. */
     private record Member(
@@ -128,12 +128,12 @@
     }
 
     /** Balancers poll from now on, and a change counts as known to them after this time at the latest. */
-    void setPollTerm(long millis) {
-        pollTermMs = millis;
+    void setPollPropagation(long millis) {
+        pollPropagationMs = millis;
     }
 
-    /** The next answers of an agent are spoilt like this, one after the other, and no others. */
-    void spoilAnswers(String agent, List<AnswerFault> faults) {
+    /** The next answers of an agent get these faults, one after the other, and no others do. */
+    void failAnswers(String agent, List<AnswerFault> faults) {
         agents.get(agent).faults.clear();
         agents.get(agent).faults.addAll(faults);
     }
@@ -185,10 +185,10 @@
             }
             long before = knownRevision;
             knownRevision = newRevision;
-            if (pollTermMs == 0) {
+            if (pollPropagationMs == 0) {
                 notifyChecker(before, newRevision);
             } else {
-                loop.schedule(() -> notifyChecker(before, newRevision), pollTermMs, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> notifyChecker(before, newRevision), pollPropagationMs, TimeUnit.MILLISECONDS);
             }
             List<Watch> waiting = List.copyOf(watches);
             watches.clear();
@@ -206,7 +206,7 @@
             if (fault == null) {
                 ctx.writeAndFlush(Http.response(200, list(from, knownRevision)));
             } else {
-                spoil(ctx, list(from, knownRevision), fault);
+                answerWithFault(ctx, list(from, knownRevision), fault);
             }
         }
 
@@ -218,21 +218,22 @@
                             balancer, member.id(), member.phase().equals(UP), clock.getAsLong()));
         }
 
-        private void spoil(ChannelHandlerContext ctx, String body, AnswerFault fault) {
-            byte[] whole = ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+        private void answerWithFault(ChannelHandlerContext ctx, String body, AnswerFault fault) {
+            byte[] complete = ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                     .getBytes(StandardCharsets.UTF_8);
             switch (fault) {
                 case SILENT -> {}
-                case FIRST_BYTES -> writeRaw(ctx, whole, 0, FIRST_BYTES);
-                case HALF -> writeRaw(ctx, whole, 0, whole.length / 2);
+                case FIRST_BYTES -> writeRaw(ctx, complete, 0, FIRST_BYTES);
+                case HALF -> writeRaw(ctx, complete, 0, complete.length / 2);
                 case HALF_AND_CLOSE -> {
-                    writeRaw(ctx, whole, 0, whole.length / 2);
+                    writeRaw(ctx, complete, 0, complete.length / 2);
                     ctx.close();
                 }
                 case CLOSE -> ctx.close();
                 case UNAVAILABLE -> ctx.writeAndFlush(Http.response(503, ""));
-                case LATE -> loop.schedule(() -> writeRaw(ctx, whole, 0, whole.length), LATE_MS, TimeUnit.MILLISECONDS);
-                case PIECES -> writePieces(ctx, whole);
+                case LATE -> loop.schedule(
+                        () -> writeRaw(ctx, complete, 0, complete.length), LATE_MS, TimeUnit.MILLISECONDS);
+                case PIECES -> writePieces(ctx, complete);
                 case COMPLETE_LIST -> ctx.writeAndFlush(Http.response(200, list(-1, knownRevision)));
                 case OLDER_LIST -> ctx.writeAndFlush(Http.response(200, olderList()));
                 default -> throw new IllegalArgumentException(fault.toString());
@@ -244,16 +245,18 @@
             return older == null ? list(-1, knownRevision) : older.getValue();
         }
 
-        private void writePieces(ChannelHandlerContext ctx, byte[] whole) {
+        private void writePieces(ChannelHandlerContext ctx, byte[] complete) {
             for (int piece = 0; piece < PIECES; piece++) {
-                int from = whole.length * piece / PIECES;
-                int to = whole.length * (piece + 1) / PIECES;
+                int from = complete.length * piece / PIECES;
+                int to = complete.length * (piece + 1) / PIECES;
                 loop.schedule(
-                        () -> writeRaw(ctx, whole, from, to - from), piece * PIECE_INTERVAL_MS, TimeUnit.MILLISECONDS);
+                        () -> writeRaw(ctx, complete, from, to - from),
+                        piece * PIECE_INTERVAL_MS,
+                        TimeUnit.MILLISECONDS);
             }
         }
 
-        /** Writes bytes past the encoder, which only knows whole messages. */
+        /** Writes bytes past the encoder, which only knows complete messages. */
         private static void writeRaw(ChannelHandlerContext ctx, byte[] bytes, int from, int length) {
             if (ctx.channel().isActive()) {
                 ctx.pipeline().context(HttpServerCodec.class).writeAndFlush(Unpooled.copiedBuffer(bytes, from, length));
--- a/src/main/java/sedgeyoke/standin/Site.java
+++ b/src/main/java/sedgeyoke/standin/Site.java
@@ -17,7 +17,7 @@
 
 /** A site on loopback without its balancers: discovery, order nodes and clients on one event loop. */
 public final class Site implements AutoCloseable {
-    private static final long EXCESSIVE_BUDGET_MS = 1_000;
+    private static final long EXCESS_BUDGET_MILLIS = 1_000;
 
     private final SiteModel spec;
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -83,13 +83,13 @@
     }
 
     /** Balancers poll a shared service, and a change counts as known to them after this time at the latest. */
-    public void setPollTerm(long millis) {
-        run(() -> discovery.setPollTerm(millis));
+    public void setPollPropagation(long millis) {
+        run(() -> discovery.setPollPropagation(millis));
     }
 
-    /** The next answers of an agent are spoilt like this, one after the other. */
-    public void spoilAnswers(String agent, List<AnswerFault> faults) {
-        run(() -> discovery.spoilAnswers(agent, faults));
+    /** The next answers of an agent get these faults, one after the other. */
+    public void failDiscoveryAnswers(String agent, List<AnswerFault> faults) {
+        run(() -> discovery.failAnswers(agent, faults));
     }
 
     /** Makes all agents silent, so that they learn nothing either, or ends that. */
@@ -102,24 +102,29 @@
         return ask(discovery::completeList);
     }
 
-    /** Opens new connections of clients to a balancer or not; those that are open are used in any case. */
-    public void setTakesConnections(String balancer, boolean takes) {
-        run(() -> clients.setTakesConnections(balancer, takes));
+    /** Opens new connections of clients to a balancer from now on. */
+    public void startConnectingTo(String balancer) {
+        run(() -> clients.startConnectingTo(balancer));
     }
 
-    /** Sets the share of the requests whose client leaves before an answer. */
-    public void setDepartureShare(double share) {
-        run(() -> clients.setDepartureShare(share));
+    /** Opens no new connections of clients to a balancer from now on; those that are open are used. */
+    public void stopConnectingTo(String balancer) {
+        run(() -> clients.stopConnectingTo(balancer));
     }
 
-    /** Clients that leave send their request after that: a mistake that the checker has to find. */
-    public void setDepartureMistake() {
-        run(() -> clients.setLeavesSilently(true));
+    /** Sets the share of the requests whose client disconnects before an answer. */
+    public void setDisconnectShare(double share) {
+        run(() -> clients.behavior().setDisconnectShare(share));
     }
 
-    /** Clients tell balancers more time than they have: a mistake that the checker has to find. */
-    public void setBudgetMistake() {
-        run(() -> clients.setFurtherBudgetMs(EXCESSIVE_BUDGET_MS));
+    /** Clients that disconnect early send their request after that: a mistake that the checker has to find. */
+    public void plantRequestsAfterDisconnect() {
+        run(() -> clients.behavior().sendAfterDisconnect());
+    }
+
+    /** Clients announce more time than they have: a mistake that the checker has to find. */
+    public void plantExcessiveBudgets() {
+        run(() -> clients.behavior().setExcessBudgetMillis(EXCESS_BUDGET_MILLIS));
     }
 
     /** From now on clients of a zone use this balancer too. */
--- a/src/test/java/sedgeyoke/drill/soak/SoakTest.java
+++ b/src/test/java/sedgeyoke/drill/soak/SoakTest.java
@@ -80,7 +80,7 @@
 
     private static String ruleBrokenBy(Mistake mistake) {
         return switch (mistake) {
-            case DRAINS_NOT_TOLD -> "rule 3:";
+            case DRAINS_NOT_ANNOUNCED -> "rule 3:";
             case NO_SLOW_START -> "rule 4:";
             case EFFECTS_REPEATED -> "rule 2:";
             default -> "rule 1:";
