--- a/src/main/java/sedgeyoke/consensus/Action.java
+++ b/src/main/java/sedgeyoke/consensus/Action.java
@@ -4,8 +4,16 @@
 
 /** An output of a {@link RaftNode}. Actions are to be carried out in the order in which they are returned. */
 public sealed interface Action {
+    /** Calls the method of {@code handler} for this type of action. */
+    void deliver(ActionHandler handler);
+
     /** Send a message to a replica; it may get lost. */
-    record Send(String to, RaftMessage message) implements Action {}
+    record Send(String to, RaftMessage message) implements Action {
+        @Override
+        public void deliver(ActionHandler handler) {
+            handler.handle(this);
+        }
+    }
 
     /**
      * Write all of this to disk, in the order of the components, and report it with {@link Event.Persisted}. Several
@@ -26,17 +34,42 @@
             long restartLogAfter,
             long truncateAfter,
             List<LogEntry> entries)
-            implements Action {}
+            implements Action {
+        @Override
+        public void deliver(ActionHandler handler) {
+            handler.handle(this);
+        }
+    }
 
     /** Return the result of the request that came with this token. */
-    record Respond(long token, RequestResult result) implements Action {}
+    record Respond(long token, RequestResult result) implements Action {
+        @Override
+        public void deliver(ActionHandler handler) {
+            handler.handle(this);
+        }
+    }
 
     /** Send a lease response to a balancer that is connected to this replica. */
-    record SendLease(LeaseResponse response) implements Action {}
+    record SendLease(LeaseResponse response) implements Action {
+        @Override
+        public void deliver(ActionHandler handler) {
+            handler.handle(this);
+        }
+    }
 
     /** The active or the pending version has changed: notify the balancers that are connected to this replica. */
-    record ConfigChanged(ConfigVersion active, ConfigVersion pending) implements Action {}
+    record ConfigChanged(ConfigVersion active, ConfigVersion pending) implements Action {
+        @Override
+        public void deliver(ActionHandler handler) {
+            handler.handle(this);
+        }
+    }
 
     /** Write a line to the log. */
-    record Log(String line) implements Action {}
+    record Log(String line) implements Action {
+        @Override
+        public void deliver(ActionHandler handler) {
+            handler.handle(this);
+        }
+    }
 }
--- a/src/main/java/sedgeyoke/consensus/ClientRequest.java
+++ b/src/main/java/sedgeyoke/consensus/ClientRequest.java
@@ -2,19 +2,42 @@
 
 /** A request of a client; any replica takes it and forwards it to the leader. */
 public sealed interface ClientRequest {
+    /** Calls the method of {@code handler} for this type of request. */
+    void deliver(ClientRequestHandler handler);
+
     /** Creates a new config version; see {@link Command.Write}. */
-    record Set(Command.Write write) implements ClientRequest {}
+    record Set(Command.Write write) implements ClientRequest {
+        @Override
+        public void deliver(ClientRequestHandler handler) {
+            handler.handle(this);
+        }
+    }
 
     /** A linearizable read: its result states a version at least as new as any committed before the request. */
-    record Read() implements ClientRequest {}
+    record Read() implements ClientRequest {
+        @Override
+        public void deliver(ClientRequestHandler handler) {
+            handler.handle(this);
+        }
+    }
 
     /** Adds a member, as a learner at first; it becomes a voter once its log has caught up. */
-    record AddMember(Member member) implements ClientRequest {}
+    record AddMember(Member member) implements ClientRequest {
+        @Override
+        public void deliver(ClientRequestHandler handler) {
+            handler.handle(this);
+        }
+    }
 
     /**
      * Removes a member.
      *
      * @param storageId of the member, so that a delayed duplicate does not remove its successor; 0 for any
      */
-    record RemoveMember(String name, long storageId) implements ClientRequest {}
+    record RemoveMember(String name, long storageId) implements ClientRequest {
+        @Override
+        public void deliver(ClientRequestHandler handler) {
+            handler.handle(this);
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/sedgeyoke/consensus/ClientRequestHandler.java
@@ -0,0 +1,16 @@
+package sedgeyoke.consensus;
+
+/** One method for each type of {@link ClientRequest}. */
+public interface ClientRequestHandler {
+    /** Handles the write of a config version. */
+    void handle(ClientRequest.Set set);
+
+    /** Handles a linearizable read. */
+    void handle(ClientRequest.Read read);
+
+    /** Handles the addition of a member. */
+    void handle(ClientRequest.AddMember addition);
+
+    /** Handles the removal of a member. */
+    void handle(ClientRequest.RemoveMember removal);
+}
--- a/src/main/java/sedgeyoke/consensus/ClientRequests.java
+++ b/src/main/java/sedgeyoke/consensus/ClientRequests.java
@@ -3,7 +3,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.LongSupplier;
 
 /**
  * Clients' requests from their arrival to their result: a follower forwards them, the leader answers reads and rejected
@@ -129,14 +128,37 @@
             respond(origin, RequestResult.Kind.NO_LEADER, "the leader has committed nothing in its term yet");
         } else if (proposed.size() + confirmation.pendingCount() >= MAX_WAITING) {
             respond(origin, RequestResult.Kind.BUSY, TOO_MANY);
-        } else if (request instanceof ClientRequest.Read) {
+        } else {
+            request.deliver(new LeaderHandler(origin));
+        }
+    }
+
+    /** Carries out one request as the leader, and responds to its origin. */
+    private final class LeaderHandler implements ClientRequestHandler {
+        private final Origin origin;
+
+        LeaderHandler(Origin origin) {
+            this.origin = origin;
+        }
+
+        @Override
+        public void handle(ClientRequest.Read request) {
             read(origin);
-        } else if (request instanceof ClientRequest.Set set) {
-            write(origin, set.write());
-        } else if (request instanceof ClientRequest.AddMember add) {
-            changeMembership(origin, membershipChange.rejection(add), () -> membershipChange.add(add.member()));
-        } else if (request instanceof ClientRequest.RemoveMember remove) {
-            changeMembership(origin, membershipChange.rejection(remove), () -> membershipChange.remove(remove.name()));
+        }
+
+        @Override
+        public void handle(ClientRequest.Set request) {
+            write(origin, request.write());
+        }
+
+        @Override
+        public void handle(ClientRequest.AddMember request) {
+            addMember(origin, request);
+        }
+
+        @Override
+        public void handle(ClientRequest.RemoveMember request) {
+            removeMember(origin, request);
         }
     }
 
@@ -158,7 +180,7 @@
                 () -> respond(origin, RequestResult.Kind.UNKNOWN, "the leader has changed"));
     }
 
-    /** The result of a write that needs no entry, as it is repeated or invalid; null if it needs one. */
+    /** The result of a write that needs no entry, as it is repeated, not possible or invalid; null if it needs one. */
     private RequestResult resultWithoutEntry(Command.Write write) {
         RequestResult earlier = state.stateMachine.resultOf(write.requestId());
         if (earlier != null) {
@@ -168,26 +190,45 @@
         if (rejection != null) {
             return rejection;
         }
-        ConfigVersion active = state.stateMachine.active();
-        List<String> violations = ConfigValidator.violations(active.content(), write.content());
-        if (!violations.isEmpty()) {
-            return new RequestResult(RequestResult.Kind.REFUSED, active.number(), String.join("; ", violations));
-        }
-        int required = ConfigSchema.requiredVersion(write.content());
+        RequestResult invalid = rejectionOfContent(write.content());
+        return invalid == null ? rejectionOfSchema(write.content()) : invalid;
+    }
+
+    private RequestResult rejectionOfContent(ConfigDocument content) {
+        List<String> violations =
+                ConfigValidator.violations(state.stateMachine.active().content(), content);
+        return violations.isEmpty() ? null : rejection(RequestResult.Kind.REFUSED, String.join("; ", violations));
+    }
+
+    /** A balancer that does not know the schema would act on a part of the version only. */
+    private RequestResult rejectionOfSchema(ConfigDocument content) {
+        int required = ConfigSchema.requiredVersion(content);
         int supported = leases.oldestSchemaVersion();
-        if (required > supported) {
-            return new RequestResult(
-                    RequestResult.Kind.BUSY,
-                    active.number(),
-                    "a balancer supports the schema up to version " + supported + ", version " + required
-                            + " is required");
+        return required <= supported
+                ? null
+                : rejection(
+                        RequestResult.Kind.BUSY,
+                        "a balancer supports the schema up to version " + supported + ", version " + required
+                                + " is required");
+    }
+
+    private RequestResult rejection(RequestResult.Kind kind, String detail) {
+        return new RequestResult(kind, state.stateMachine.active().number(), detail);
+    }
+
+    private void addMember(Origin origin, ClientRequest.AddMember request) {
+        String rejection = membershipChange.rejection(request);
+        if (rejection == null) {
+            proposed.put(membershipChange.add(request.member()), origin);
+        } else {
+            respond(origin, RequestResult.Kind.REFUSED, rejection);
         }
-        return null;
     }
 
-    private void changeMembership(Origin origin, String rejection, LongSupplier append) {
+    private void removeMember(Origin origin, ClientRequest.RemoveMember request) {
+        String rejection = membershipChange.rejection(request);
         if (rejection == null) {
-            proposed.put(append.getAsLong(), origin);
+            proposed.put(membershipChange.remove(request.name()), origin);
         } else {
             respond(origin, RequestResult.Kind.REFUSED, rejection);
         }
--- a/src/main/java/sedgeyoke/consensus/ConfigStateMachine.java
+++ b/src/main/java/sedgeyoke/consensus/ConfigStateMachine.java
@@ -18,6 +18,7 @@
     static final int MAX_REQUESTS = 2_000;
 
     private final SafetyRules rules;
+    private final Applier applier = new Applier();
     private final Deque<ConfigVersion> history = new ArrayDeque<>();
     private final Map<String, RequestResult> requests = new LinkedHashMap<>();
     private ConfigVersion active = ConfigVersion.NONE;
@@ -97,19 +98,40 @@
 
     /** Applies a committed command; returns the result for the client that waits for it, if there is one. */
     RequestResult apply(Command command) {
-        if (command instanceof Command.Write write) {
-            return apply(write);
+        return command.accept(applier);
+    }
+
+    /** Applies each type of command. */
+    private final class Applier implements CommandVisitor<RequestResult> {
+        @Override
+        public RequestResult visit(Command.NoOp noOp) {
+            return done();
         }
-        if (command instanceof Command.ChangeMembership change) {
+
+        @Override
+        public RequestResult visit(Command.ChangeMembership change) {
             membership = change.membership();
-        } else if (command instanceof Command.Activate activate) {
-            apply(activate);
+            return done();
+        }
+
+        @Override
+        public RequestResult visit(Command.Write write) {
+            return write(write);
+        }
+
+        @Override
+        public RequestResult visit(Command.Activate activate) {
+            activate(activate.version());
+            return done();
+        }
+
+        private RequestResult done() {
+            return new RequestResult(RequestResult.Kind.DONE, newest().number(), "");
         }
-        return new RequestResult(RequestResult.Kind.DONE, newest().number(), "");
     }
 
-    private void apply(Command.Activate activate) {
-        if (pending == null || pending.number() != activate.version()) {
+    private void activate(long version) {
+        if (pending == null || pending.number() != version) {
             return; // it was activated before: a new leader may repeat the command
         }
         history.add(active);
@@ -120,7 +142,7 @@
         pending = null;
     }
 
-    private RequestResult apply(Command.Write write) {
+    private RequestResult write(Command.Write write) {
         RequestResult earlier = requests.get(write.requestId());
         if (!rules.appliesRequest(earlier)) {
             return earlier;
--- a/src/main/java/sedgeyoke/consensus/codec/ClientCodec.java
+++ b/src/main/java/sedgeyoke/consensus/codec/ClientCodec.java
@@ -1,6 +1,7 @@
 package sedgeyoke.consensus.codec;
 
 import sedgeyoke.consensus.ClientRequest;
+import sedgeyoke.consensus.ClientRequestHandler;
 import sedgeyoke.consensus.LeaseRequest;
 import sedgeyoke.consensus.LeaseResponse;
 import sedgeyoke.consensus.RequestResult;
@@ -20,17 +21,32 @@
     /** Encodes a request. */
     public static ClientRequestMessage encode(ClientRequest request) {
         ClientRequestMessage.Builder message = ClientRequestMessage.newBuilder();
-        if (request instanceof ClientRequest.Set set) {
+        request.deliver(new RequestEncoder(message));
+        return message.build();
+    }
+
+    /** Writes one request into a message. */
+    private record RequestEncoder(ClientRequestMessage.Builder message) implements ClientRequestHandler {
+        @Override
+        public void handle(ClientRequest.Set set) {
             message.setSet(LogCodec.encode(set.write()));
-        } else if (request instanceof ClientRequest.AddMember add) {
-            message.setAddMember(LogCodec.encode(add.member()));
-        } else if (request instanceof ClientRequest.RemoveMember remove) {
-            message.setRemoveMember(
-                    MemberMessage.newBuilder().setName(remove.name()).setStorageId(remove.storageId()));
-        } else {
+        }
+
+        @Override
+        public void handle(ClientRequest.Read read) {
             message.setRead(true);
         }
-        return message.build();
+
+        @Override
+        public void handle(ClientRequest.AddMember addition) {
+            message.setAddMember(LogCodec.encode(addition.member()));
+        }
+
+        @Override
+        public void handle(ClientRequest.RemoveMember removal) {
+            message.setRemoveMember(
+                    MemberMessage.newBuilder().setName(removal.name()).setStorageId(removal.storageId()));
+        }
     }
 
     /** Decodes a request; throws if it is invalid or of a kind that only a newer release knows. */
--- a/src/main/java/sedgeyoke/consensus/codec/LogCodec.java
+++ b/src/main/java/sedgeyoke/consensus/codec/LogCodec.java
@@ -4,6 +4,7 @@
 
 import java.util.List;
 import sedgeyoke.consensus.Command;
+import sedgeyoke.consensus.CommandVisitor;
 import sedgeyoke.consensus.LogEntry;
 import sedgeyoke.consensus.Member;
 import sedgeyoke.consensus.Membership;
@@ -85,17 +86,30 @@
     public static LogEntryMessage encode(LogEntry entry) {
         LogEntryMessage.Builder message =
                 LogEntryMessage.newBuilder().setIndex(entry.index()).setTerm(entry.term());
-        Command command = entry.command();
-        if (command instanceof Command.ChangeMembership change) {
-            message.setChangeMembership(encode(change.membership()));
-        } else if (command instanceof Command.Write write) {
-            message.setWrite(encode(write));
-        } else if (command instanceof Command.Activate activate) {
-            message.setActivate(activate.version());
-        } else {
-            message.setNoOp(true);
+        return entry.command().accept(new CommandEncoder(message)).build();
+    }
+
+    /** Writes one command into the message of its entry, and returns that message. */
+    private record CommandEncoder(LogEntryMessage.Builder message) implements CommandVisitor<LogEntryMessage.Builder> {
+        @Override
+        public LogEntryMessage.Builder visit(Command.NoOp noOp) {
+            return message.setNoOp(true);
+        }
+
+        @Override
+        public LogEntryMessage.Builder visit(Command.ChangeMembership change) {
+            return message.setChangeMembership(encode(change.membership()));
+        }
+
+        @Override
+        public LogEntryMessage.Builder visit(Command.Write write) {
+            return message.setWrite(encode(write));
+        }
+
+        @Override
+        public LogEntryMessage.Builder visit(Command.Activate activate) {
+            return message.setActivate(activate.version());
         }
-        return message.build();
     }
 
     /** Decodes a log entry; throws if its command is invalid or was written by a newer release. */
--- a/src/main/java/sedgeyoke/consensus/server/ConfigServer.java
+++ b/src/main/java/sedgeyoke/consensus/server/ConfigServer.java
@@ -9,6 +9,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import sedgeyoke.consensus.Action;
+import sedgeyoke.consensus.ActionHandler;
+import sedgeyoke.consensus.ConfigVersion;
 import sedgeyoke.consensus.Event;
 import sedgeyoke.consensus.RaftNode;
 import sedgeyoke.consensus.SafetyRules;
@@ -34,6 +36,7 @@
     private final IncomingConnections incoming;
     private final PersistenceExecutor persistence;
     private final Consumer<String> onFailure;
+    private final ActionHandler actionExecutor = new ActionExecutor();
     private long lastHeartbeatMicros;
     private boolean stopped;
 
@@ -109,7 +112,7 @@
         }
         try {
             for (Action action : node.handle(event, context.clock().getAsLong())) {
-                carryOut(action);
+                action.deliver(actionExecutor);
             }
         } catch (RuntimeException e) { // the node's state may be inconsistent
             fail("the Raft node has failed: " + e + " at " + e.getStackTrace()[0]);
@@ -122,22 +125,37 @@
         onFailure.accept(reason);
     }
 
-    private void carryOut(Action action) {
-        if (action instanceof Action.Send send) {
+    /** Carries out the actions of the node. */
+    private final class ActionExecutor implements ActionHandler {
+        @Override
+        public void handle(Action.Send send) {
             peers.send(send.to(), send.message());
-        } else if (action instanceof Action.Persist persist) {
+        }
+
+        @Override
+        public void handle(Action.Persist persist) {
             persistence.submit(persist);
-        } else if (action instanceof Action.Respond respond) {
+        }
+
+        @Override
+        public void handle(Action.Respond respond) {
             operatorRequests.complete(respond.token(), respond.result());
-        } else if (action instanceof Action.SendLease sendLease) {
+        }
+
+        @Override
+        public void handle(Action.SendLease sendLease) {
             subscriptions.send(sendLease.response());
-        } else if (action instanceof Action.ConfigChanged changed) {
-            subscriptions.notifyConfigChanged(
-                    changed.pending() == null
-                            ? changed.active().number()
-                            : changed.pending().number());
-        } else if (action instanceof Action.Log line) {
-            context.log().accept("config server " + context.settings().name() + " " + line.line());
+        }
+
+        @Override
+        public void handle(Action.ConfigChanged changed) {
+            ConfigVersion newest = changed.pending() == null ? changed.active() : changed.pending();
+            subscriptions.notifyConfigChanged(newest.number());
+        }
+
+        @Override
+        public void handle(Action.Log log) {
+            context.log().accept("config server " + context.settings().name() + " " + log.line());
         }
     }
 }
