--- a/src/main/java/sedgeyoke/plan/Follower.java
+++ b/src/main/java/sedgeyoke/plan/PlanSubscriber.java
@@ -13,11 +13,11 @@
 import sedgeyoke.policy.LoadBalancingPolicy.UpstreamStatus;
 
 /**
- * The forwarder's side of the planner protocol. It reports to every planner, follows the plans of one, delegates its
+ * The forwarder's side of the planner protocol. It reports to every planner, applies the plans of one, delegates its
  * slow-start quota to that one while it answers, and uses the grants of all planners.
  */
-public class Follower {
-    /** Planners on standby get reports so often: enough to be followed at once. */
+public class PlanSubscriber {
+    /** How often planners on standby get reports, so that one of them can be selected at once. */
     private static final long STANDBY_REPORT_INTERVAL_MICROS = 500_000;
     /** Quota is delegated only if the planner's last plan is younger than this part of the lease. */
     private static final int MAX_PLAN_AGE_DIVISOR = 3;
@@ -45,13 +45,13 @@
     public record Identity(
             String name, long incarnation, int zone, long leaseMicros, long fadeTimeMicros, double minGrantRate) {}
 
-    /** Creates a follower; it uses no slow-start quota of its own for a lease from {@code nowMicros} on. */
-    public Follower(Identity self, LeaseClock leaseClock, long nowMicros) {
+    /** Creates a subscriber; it uses no slow-start quota of its own for a lease from {@code nowMicros} on. */
+    public PlanSubscriber(Identity self, LeaseClock leaseClock, long nowMicros) {
         this(self, leaseClock, new QuotaDelegation(leaseClock, self.leaseMicros(), nowMicros));
     }
 
-    /** Creates a follower with the given delegation; tests pass ones with deliberate faults. */
-    Follower(Identity self, LeaseClock leaseClock, QuotaDelegation delegation) {
+    /** Creates a subscriber with the given delegation; tests pass ones with deliberate faults. */
+    PlanSubscriber(Identity self, LeaseClock leaseClock, QuotaDelegation delegation) {
         this.self = self;
         this.leaseClock = leaseClock;
         this.delegation = delegation;
@@ -65,9 +65,9 @@
 
     // ---- Reports -------------------------------------------------------------------------------------
 
-    /** Whether a planner is due a report: the followed one at each interval, planners on standby less often. */
+    /** Whether a planner is due a report: the selected one at each interval, planners on standby less often. */
     public boolean isReportDue(long nowMicros, String planner) {
-        boolean due = planner.equals(planners.followed(nowMicros))
+        boolean due = planner.equals(planners.selected(nowMicros))
                 || nowMicros >= nextStandbyReportMicros.getOrDefault(planner, Long.MIN_VALUE);
         if (due) {
             nextStandbyReportMicros.put(planner, nowMicros + STANDBY_REPORT_INTERVAL_MICROS);
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Creates the report for one planner. The report to the followed planner delegates slow-start quota: the caller
+     * Creates the report for one planner. The report to the selected planner delegates slow-start quota: the caller
      * must hand {@link #currentPlan} to the policy before it sends the report.
      */
     public ForwarderReport createReport(long nowMicros, String planner, LoadBalancingPolicy.Summary summary) {
@@ -87,8 +87,8 @@
             PlanMessage message = lastPlan.message();
             echo = new ForwarderReport.Stamp(message.incarnation(), message.sentAtMicros());
             long ageMicros = nowMicros - lastPlan.receivedAtMicros();
-            boolean followed = planner.equals(planners.followed(nowMicros));
-            if (followed && ageMicros <= self.leaseMicros() / MAX_PLAN_AGE_DIVISOR) {
+            boolean selected = planner.equals(planners.selected(nowMicros));
+            if (selected && ageMicros <= self.leaseMicros() / MAX_PLAN_AGE_DIVISOR) {
                 deposits = delegateQuota(nowMicros, message, summary.upstreams());
             }
         }
@@ -150,7 +150,7 @@
         if (!answersThisProcess || plan.echo().atMicros() > nowMicros || !planners.receive(nowMicros, plan)) {
             return false;
         }
-        if (plan.planner().equals(planners.followed(nowMicros))) {
+        if (plan.planner().equals(planners.selected(nowMicros))) {
             views.add(nowMicros, plan.views());
         }
         return true;
@@ -158,13 +158,13 @@
 
     /** Whether a plan that was handled changes {@link #currentPlan}; few plans of planners on standby do. */
     public boolean affectsCurrentPlan(long nowMicros, PlanMessage plan) {
-        return plan.planner().equals(planners.followed(nowMicros))
+        return plan.planner().equals(planners.selected(nowMicros))
                 || !plan.grants().isEmpty();
     }
 
-    /** Returns the name of the planner that is followed, or null if none is active. */
-    String followedPlanner(long nowMicros) {
-        return planners.followed(nowMicros);
+    /** Returns the name of the planner that is selected, or null if none is active. */
+    String selectedPlanner(long nowMicros) {
+        return planners.selected(nowMicros);
     }
 
     /** How many planners have sent a plan recently. */
@@ -174,11 +174,11 @@
 
     /** The plan that the policy is to go by now, merged from what all planners have sent. */
     public LoadBalancingPolicy.Plan currentPlan(long nowMicros) {
-        PlannerSelection.ReceivedPlan followed = planners.followedPlan(nowMicros);
+        PlannerSelection.ReceivedPlan selected = planners.selectedPlan(nowMicros);
         List<Double> spillover =
-                followed == null ? List.of() : followed.message().spillover();
+                selected == null ? List.of() : selected.message().spillover();
         List<Double> limitShares =
-                followed == null ? List.of() : followed.message().limitShares();
+                selected == null ? List.of() : selected.message().limitShares();
         return new LoadBalancingPolicy.Plan(
                 planners.lastReceivedAtMicros(),
                 fadeTimeMicros,
--- a/src/main/java/sedgeyoke/plan/PlannerSelection.java
+++ b/src/main/java/sedgeyoke/plan/PlannerSelection.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The last plan of each planner, and which planner a forwarder follows: one that covers most forwarders. */
+/** The last plan of each planner, and which planner's plans a forwarder applies: one that covers most forwarders. */
 final class PlannerSelection {
-    /** A planner whose last plan is older is not followed. */
+    /** A planner whose last plan is older is not selected. */
     static final long PLANNER_TIMEOUT_MICROS = 1_000_000;
-    /** The followed planner is replaced, while it is active, only by one that covers more by this factor. */
+    /** The selected planner is replaced, while it is active, only by one that covers more by this factor. */
     private static final double COVERAGE_HYSTERESIS = 1.1;
 
     private final Map<String, ReceivedPlan> lastPlans = new TreeMap<>();
-    private String followed;
+    private String selected;
 
     /** A plan and when it was received. */
     record ReceivedPlan(PlanMessage message, long receivedAtMicros) {
@@ -46,27 +46,27 @@
         return lastPlans.values();
     }
 
-    /** Returns the name of the planner that is followed, or null if none is active. */
-    String followed(long nowMicros) {
+    /** Returns the name of the planner that is selected, or null if none is active. */
+    String selected(long nowMicros) {
         ReceivedPlan best = null;
         for (ReceivedPlan plan : lastPlans.values()) {
             if (plan.isActive(nowMicros) && (best == null || plan.coverage() > best.coverage())) {
                 best = plan;
             }
         }
-        ReceivedPlan current = followed == null ? null : lastPlans.get(followed);
+        ReceivedPlan current = selected == null ? null : lastPlans.get(selected);
         boolean keepCurrent = current != null
                 && current.isActive(nowMicros)
                 && best.coverage() <= COVERAGE_HYSTERESIS * current.coverage();
         if (!keepCurrent) {
-            followed = best == null ? null : best.message().planner();
+            selected = best == null ? null : best.message().planner();
         }
-        return followed;
+        return selected;
     }
 
-    /** The last plan of the planner that is followed, or null. */
-    ReceivedPlan followedPlan(long nowMicros) {
-        String planner = followed(nowMicros);
+    /** The last plan of the planner that is selected, or null. */
+    ReceivedPlan selectedPlan(long nowMicros) {
+        String planner = selected(nowMicros);
         return planner == null ? null : lastPlans.get(planner);
     }
 
--- a/src/main/java/sedgeyoke/plan/package-info.java
+++ b/src/main/java/sedgeyoke/plan/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Coordination of a tier of forwarders by planners. A {@link sedgeyoke.plan.Planner} aggregates the load reports of all
  * forwarders and answers each with a plan: upstreams' aggregated limits, zone spillover, and slow-start quota that
- * other forwarders have delegated. A {@link sedgeyoke.plan.Follower} is the forwarder's side of the protocol.
+ * other forwarders have delegated. A {@link sedgeyoke.plan.PlanSubscriber} is the forwarder's side of the protocol.
  * Delegation is made safe by leases, whose arithmetic is in {@link sedgeyoke.lease.LeaseClock};
  * docs/design/planners.md has the argument.
  *
--- a/src/main/java/sedgeyoke/plan/remote/PlannerClient.java
+++ b/src/main/java/sedgeyoke/plan/remote/PlannerClient.java
@@ -12,9 +12,9 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.lease.LeaseClock;
-import sedgeyoke.plan.Follower;
 import sedgeyoke.plan.ForwarderReport;
 import sedgeyoke.plan.PlanMessage;
+import sedgeyoke.plan.PlanSubscriber;
 import sedgeyoke.policy.LoadBalancingPolicy;
 import sedgeyoke.proxy.PolicyPort;
 import sedgeyoke.settings.PlannerClientSettings;
@@ -38,18 +38,18 @@
     private final EventLoop loop;
     private final PolicyPort port;
     private final String name;
-    private final Follower follower;
+    private final PlanSubscriber subscriber;
     private final SplittableRandom random;
     private final List<ReconnectingDialer<PlannerConnection>> planners = new ArrayList<>();
     private long reportEveryMillis;
 
     /** Creates the client; throws if the TLS files cannot be loaded. */
-    public PlannerClient(EventLoop loop, PolicyPort port, Follower.Identity self, PlannerClientSettings settings)
+    public PlannerClient(EventLoop loop, PolicyPort port, PlanSubscriber.Identity self, PlannerClientSettings settings)
             throws IOException {
         this.loop = loop;
         this.port = port;
         this.name = self.name();
-        this.follower = new Follower(self, new LeaseClock(settings.driftPpm()), port.now());
+        this.subscriber = new PlanSubscriber(self, new LeaseClock(settings.driftPpm()), port.now());
         this.random = new SplittableRandom(self.incarnation());
         this.reportEveryMillis = settings.reportEveryMs();
         MutualTls tls = MutualTls.forClient(settings.tls(), port::log);
@@ -69,16 +69,16 @@
     /** Applies those settings that may change without a restart; on the loop. */
     public void reload(PlannerClientSettings changed) {
         reportEveryMillis = changed.reportEveryMs();
-        follower.setFadeTimeMicros(changed.fadeMs() * MICROS_PER_MILLI);
+        subscriber.setFadeTimeMicros(changed.fadeMs() * MICROS_PER_MILLI);
     }
 
     /** Returns the number of planners whose plans have arrived lately; on the loop. */
     public int activePlanners() {
-        return follower.activePlanners(port.now());
+        return subscriber.activePlanners(port.now());
     }
 
     private void updatePolicy() {
-        port.policy().planUpdated(port.now(), follower.currentPlan(port.now()));
+        port.policy().planUpdated(port.now(), subscriber.currentPlan(port.now()));
     }
 
     /** The delay varies by an eighth to both sides, so that forwarders do not report at the same moment. */
@@ -104,13 +104,13 @@
         for (ReconnectingDialer<PlannerConnection> planner : planners) {
             Optional<PlannerConnection> connection = planner.readyConnection();
             if (connection.isPresent()
-                    && follower.isReportDue(now, connection.get().peerName())) {
+                    && subscriber.isReportDue(now, connection.get().peerName())) {
                 reports.put(
                         connection.get(),
-                        follower.createReport(now, connection.get().peerName(), summary));
+                        subscriber.createReport(now, connection.get().peerName(), summary));
             }
         }
-        port.policy().planUpdated(now, follower.currentPlan(now));
+        port.policy().planUpdated(now, subscriber.currentPlan(now));
         reports.forEach((connection, report) -> connection.send(
                 Frame.newBuilder().setReport(PlannerCodec.encodeReport(report)).build()));
     }
@@ -129,7 +129,7 @@
             }
             PlanMessage plan = PlannerCodec.decodePlan(peerName(), frame.getPlan());
             long now = port.now();
-            if (follower.handlePlan(now, plan) && follower.affectsCurrentPlan(now, plan)) {
+            if (subscriber.handlePlan(now, plan) && subscriber.affectsCurrentPlan(now, plan)) {
                 port.deliver(PlannerClient.this::updatePolicy);
             }
         }
--- a/src/main/java/sedgeyoke/serve/OptionalFeatures.java
+++ b/src/main/java/sedgeyoke/serve/OptionalFeatures.java
@@ -9,7 +9,7 @@
 import sedgeyoke.body.BodyLimits;
 import sedgeyoke.consensus.ConfigSchema;
 import sedgeyoke.consensus.server.ConfigSubscription;
-import sedgeyoke.plan.Follower;
+import sedgeyoke.plan.PlanSubscriber;
 import sedgeyoke.plan.remote.PlannerClient;
 import sedgeyoke.policy.LoadBalancingPolicy;
 import sedgeyoke.proxy.BalancerConfig;
@@ -78,7 +78,7 @@
         LoadBalancingPolicy.Settings settings = config.instanceSettings().settings();
         double minGrant =
                 MIN_GRANT_REQUESTS * 1e6 / Math.max(1, settings.rules().overloadWindowMicros());
-        Follower.Identity self = new Follower.Identity(
+        PlanSubscriber.Identity self = new PlanSubscriber.Identity(
                 config.name(),
                 new SecureRandom().nextLong() | 1,
                 settings.zone(),
--- a/src/main/java/sedgeyoke/settings/PlannerClientSettings.java
+++ b/src/main/java/sedgeyoke/settings/PlannerClientSettings.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Section {@code [plans]}: a forwarder that follows plans of planners.
+ * Section {@code [plans]}: a forwarder that applies plans of planners.
  *
  * @param enabled whether it does
  * @param planners where they listen; at most 16
--- a/src/main/java/sedgeyoke/simulation/Scenario.java
+++ b/src/main/java/sedgeyoke/simulation/Scenario.java
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Planners, and the settings of the forwarders that follow them.
+     * Planners, and the settings of the forwarders that apply their plans.
      *
      * @param count how many run at the start
      * @param reportMs interval of a forwarder's reports
--- a/src/main/java/sedgeyoke/simulation/SimulatedPlannerClient.java
+++ b/src/main/java/sedgeyoke/simulation/SimulatedPlannerClient.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import sedgeyoke.lease.LeaseClock;
-import sedgeyoke.plan.Follower;
 import sedgeyoke.plan.ForwarderReport;
 import sedgeyoke.plan.PlanMessage;
+import sedgeyoke.plan.PlanSubscriber;
 import sedgeyoke.policy.LoadBalancingPolicy;
 
 /** A forwarder's side of the planner protocol: connects to the planners, reports to them, and hands on their plans. */
@@ -27,7 +27,7 @@
     /** When the connection to each planner is usable. */
     private final Map<SimulatedPlanner, Long> connectedAtMicros = new HashMap<>();
 
-    private Follower follower;
+    private PlanSubscriber subscriber;
     private long lastArrivalMicros;
 
     SimulatedPlannerClient(
@@ -41,14 +41,14 @@
         this.planners = planners;
     }
 
-    /** Starts a follower for the incarnation that has just started; does nothing where there are no planners. */
+    /** Starts a subscriber for the incarnation that has just started; does nothing where there are no planners. */
     void start(long incarnation, long overloadWindowMicros) {
         if (planners.isEmpty()) {
             return;
         }
         Scenario.PlannerSpec spec = context.scenario.planners();
-        follower = new Follower(
-                new Follower.Identity(
+        subscriber = new PlanSubscriber(
+                new PlanSubscriber.Identity(
                         forwarder.name(),
                         incarnation,
                         forwarder.zone(),
@@ -66,7 +66,7 @@
 
     private void updatePlan() {
         long now = forwarder.localTime();
-        forwarder.policy().planUpdated(now, follower.currentPlan(now));
+        forwarder.policy().planUpdated(now, subscriber.currentPlan(now));
     }
 
     private void scheduleReports() {
@@ -85,15 +85,15 @@
         List<SimulatedPlanner> recipients = new ArrayList<>();
         List<ForwarderReport> reports = new ArrayList<>();
         for (SimulatedPlanner planner : planners) {
-            if (isConnected(planner) && follower.isReportDue(now, planner.name())) {
+            if (isConnected(planner) && subscriber.isReportDue(now, planner.name())) {
                 if (summary == null) {
                     summary = forwarder.policy().summary(now);
                 }
                 recipients.add(planner);
-                reports.add(follower.createReport(now, planner.name(), summary));
+                reports.add(subscriber.createReport(now, planner.name(), summary));
             }
         }
-        forwarder.policy().planUpdated(now, follower.currentPlan(now));
+        forwarder.policy().planUpdated(now, subscriber.currentPlan(now));
         for (int i = 0; i < recipients.size(); i++) {
             recipients.get(i).receiveReport(forwarder, reports.get(i));
         }
@@ -119,7 +119,7 @@
         lastArrivalMicros = arrivalMicros;
         process.schedule(arrivalMicros - context.events.now(), () -> {
             long now = forwarder.localTime();
-            if (follower.handlePlan(now, plan) && follower.affectsCurrentPlan(now, plan)) {
+            if (subscriber.handlePlan(now, plan) && subscriber.affectsCurrentPlan(now, plan)) {
                 forwarder.deliver(this::updatePlan);
             }
         });
--- a/src/test/java/sedgeyoke/plan/PlanSafetyTest.java
+++ b/src/test/java/sedgeyoke/plan/PlanSafetyTest.java
@@ -60,17 +60,18 @@
         return with(f -> f.leaseClock = drift -> leaseClock);
     }
 
-    private static PlanSimulation.Faults followers(LeaseClock leaseClock) {
-        return with(f -> f.follower = (self, now) -> new Follower(self, leaseClock, now));
+    private static PlanSimulation.Faults subscribers(LeaseClock leaseClock) {
+        return with(f -> f.subscriber = (self, now) -> new PlanSubscriber(self, leaseClock, now));
     }
 
     private interface DelegationMaker {
-        QuotaDelegation make(LeaseClock leaseClock, Follower.Identity self, long nowMicros);
+        QuotaDelegation make(LeaseClock leaseClock, PlanSubscriber.Identity self, long nowMicros);
     }
 
     private static PlanSimulation.Faults delegations(DelegationMaker maker) {
         LeaseClock leaseClock = new LeaseClock(PlanSimulation.DRIFT_PPM);
-        return with(f -> f.follower = (self, now) -> new Follower(self, leaseClock, maker.make(leaseClock, self, now)));
+        return with(f ->
+                f.subscriber = (self, now) -> new PlanSubscriber(self, leaseClock, maker.make(leaseClock, self, now)));
     }
 
     /** Faulty variants of the lease rules, each with its name. */
@@ -88,7 +89,7 @@
                 return receivedAt + lease;
             }
         }));
-        faultyVariants.put("a grant is timed from its receipt", followers(new LeaseClock(PlanSimulation.DRIFT_PPM) {
+        faultyVariants.put("a grant is timed from its receipt", subscribers(new LeaseClock(PlanSimulation.DRIFT_PPM) {
             @Override
             public long grantUsableUntil(long echoedAt, long receivedAt, long grantFor) {
                 return receivedAt + grantFor;
@@ -96,14 +97,15 @@
         }));
         faultyVariants.put(
                 "a forwarder uses delegated quota before the lease expires",
-                followers(new LeaseClock(PlanSimulation.DRIFT_PPM) {
+                subscribers(new LeaseClock(PlanSimulation.DRIFT_PPM) {
                     @Override
                     public long reservedUntil(long sentAt, long lease) {
                         return sentAt + lease / 3;
                     }
                 }));
         faultyVariants.put(
-                "a restarted forwarder uses its own quota at once", followers(new LeaseClock(PlanSimulation.DRIFT_PPM) {
+                "a restarted forwarder uses its own quota at once",
+                subscribers(new LeaseClock(PlanSimulation.DRIFT_PPM) {
                     @Override
                     public long startupQuietUntil(long startedAt, long lease) {
                         return startedAt;
--- a/src/test/java/sedgeyoke/plan/PlanSimulation.java
+++ b/src/test/java/sedgeyoke/plan/PlanSimulation.java
@@ -40,8 +40,8 @@
     static final class Faults {
         LongFunction<LeaseClock> leaseClock = LeaseClock::new;
         Function<LeaseClock, SlowStartQuotaPool> quotaPool = SlowStartQuotaPool::new;
-        BiFunction<Follower.Identity, Long, Follower> follower =
-                (self, now) -> new Follower(self, new LeaseClock(DRIFT_PPM), now);
+        BiFunction<PlanSubscriber.Identity, Long, PlanSubscriber> subscriber =
+                (self, now) -> new PlanSubscriber(self, new LeaseClock(DRIFT_PPM), now);
         BiFunction<Planner.Settings, LeaseClock, Planner> planner;
         /** For how long the buckets of unused tokens accumulate. */
         long bucketMicros = WINDOW_MICROS;
@@ -169,7 +169,7 @@
         private final long[] launchedAtMicros = new long[UPSTREAMS];
 
         private SlowStartBucket[] buckets;
-        private Follower follower;
+        private PlanSubscriber subscriber;
         private LoadBalancingPolicy.Plan plan;
         private long nextReportMicros;
 
@@ -180,21 +180,21 @@
 
         @Override
         protected void start() {
-            follower = faults.follower.apply(
-                    new Follower.Identity(
+            subscriber = faults.subscriber.apply(
+                    new PlanSubscriber.Identity(
                             "f" + number, incarnations++, 0, LEASE_MICROS, FADE_TIME_MICROS, minGrantRate),
                     clock());
             buckets = new SlowStartBucket[UPSTREAMS];
             for (int upstream = 0; upstream < UPSTREAMS; upstream++) {
                 buckets[upstream] = new SlowStartBucket(0, clock());
             }
-            plan = follower.currentPlan(clock());
+            plan = subscriber.currentPlan(clock());
             nextReportMicros = clock() + random.nextLong(REPORT_INTERVAL_MICROS);
         }
 
         @Override
         protected void handle(Object body) {
-            follower.handlePlan(clock(), (PlanMessage) body);
+            subscriber.handlePlan(clock(), (PlanMessage) body);
             installPlan();
         }
 
@@ -209,7 +209,7 @@
         /** Refills the buckets by the old plan and from then on by the new one. */
         private void installPlan() {
             refillBuckets();
-            plan = follower.currentPlan(clock());
+            plan = subscriber.currentPlan(clock());
             refillBuckets();
         }
 
@@ -272,7 +272,7 @@
                     new LoadBalancingPolicy.Summary(List.of(10.0 + random.nextInt(30)), upstreams, 0);
             Map<Integer, ForwarderReport> reports = new HashMap<>();
             for (PlannerProcess planner : planners) {
-                reports.put(planner.number, follower.createReport(clock(), "p" + planner.number, summary));
+                reports.put(planner.number, subscriber.createReport(clock(), "p" + planner.number, summary));
             }
             installPlan(); // before a planner can grant what the reports delegate
             reports.forEach((to, report) -> PlanSimulation.this.send(number, to, report));
--- a/src/test/java/sedgeyoke/plan/PlannerTest.java
+++ b/src/test/java/sedgeyoke/plan/PlannerTest.java
@@ -172,8 +172,8 @@
 
     // ---- The forwarder's side ------------------------------------------------------------------------
 
-    private final Follower follower =
-            new Follower(new Follower.Identity("a", 3, 0, LEASE, 4 * SECOND, 1), new LeaseClock(0), 0);
+    private final PlanSubscriber subscriber =
+            new PlanSubscriber(new PlanSubscriber.Identity("a", 3, 0, LEASE, 4 * SECOND, 1), new LeaseClock(0), 0);
 
     private static PlanMessage message(
             String planner,
@@ -199,12 +199,12 @@
     @Test
     void stalePlansAndAnswersToOtherIncarnationsAreIgnored() {
         long now = 10 * SECOND;
-        assertTrue(follower.handlePlan(now, message("p", 1, 5, now, 3, List.of())));
-        assertFalse(follower.handlePlan(now, message("p", 1, 5, now, 3, List.of())));
-        assertFalse(follower.handlePlan(now, message("p", 1, 4, now, 3, List.of())));
-        assertTrue(follower.handlePlan(now, message("p", 2, 1, now, 3, List.of())), "another incarnation");
-        assertFalse(follower.handlePlan(now, message("p", 2, 9, now + 1, 3, List.of())), "from the future");
-        assertFalse(follower.handlePlan(
+        assertTrue(subscriber.handlePlan(now, message("p", 1, 5, now, 3, List.of())));
+        assertFalse(subscriber.handlePlan(now, message("p", 1, 5, now, 3, List.of())));
+        assertFalse(subscriber.handlePlan(now, message("p", 1, 4, now, 3, List.of())));
+        assertTrue(subscriber.handlePlan(now, message("p", 2, 1, now, 3, List.of())), "another incarnation");
+        assertFalse(subscriber.handlePlan(now, message("p", 2, 9, now + 1, 3, List.of())), "from the future");
+        assertFalse(subscriber.handlePlan(
                 now,
                 new PlanMessage(
                         "p",
@@ -223,17 +223,17 @@
     @Test
     void thePlannerOfLargestCoverageIsFollowedWithHysteresis() {
         long now = 10 * SECOND;
-        assertNull(follower.followedPlanner(now));
-        follower.handlePlan(now, message("p1", 1, 1, now, 10, List.of()));
-        assertEquals("p1", follower.followedPlanner(now));
-        follower.handlePlan(now, message("p2", 1, 1, now, 11, List.of()));
-        assertEquals("p1", follower.followedPlanner(now));
-        follower.handlePlan(now, message("p3", 1, 1, now, 12, List.of()));
-        assertEquals("p3", follower.followedPlanner(now));
+        assertNull(subscriber.selectedPlanner(now));
+        subscriber.handlePlan(now, message("p1", 1, 1, now, 10, List.of()));
+        assertEquals("p1", subscriber.selectedPlanner(now));
+        subscriber.handlePlan(now, message("p2", 1, 1, now, 11, List.of()));
+        assertEquals("p1", subscriber.selectedPlanner(now));
+        subscriber.handlePlan(now, message("p3", 1, 1, now, 12, List.of()));
+        assertEquals("p3", subscriber.selectedPlanner(now));
         long later = now + PlannerSelection.PLANNER_TIMEOUT_MICROS + 1;
-        assertNull(follower.followedPlanner(later));
+        assertNull(subscriber.selectedPlanner(later));
         assertEquals(
-                now, follower.currentPlan(later).lastPlannerContactMicros(), "plans fade from the last contact on");
+                now, subscriber.currentPlan(later).lastPlannerContactMicros(), "plans fade from the last contact on");
     }
 
     private static LoadBalancingPolicy.Summary coldSummary() {
@@ -247,39 +247,47 @@
     @Test
     void quotaIsDelegatedToTheFollowedPlannerForTheWholeLease() {
         long now = 10 * SECOND;
-        assertEquals(List.of(), follower.createReport(now, "p1", coldSummary()).deposits());
-        follower.handlePlan(now, message("p1", 1, 1, now, 10, List.of()));
-        follower.handlePlan(now, message("p2", 1, 1, now, 10, List.of()));
-        assertEquals(List.of(), follower.createReport(now, "p2", coldSummary()).deposits());
+        assertEquals(
+                List.of(), subscriber.createReport(now, "p1", coldSummary()).deposits());
+        subscriber.handlePlan(now, message("p1", 1, 1, now, 10, List.of()));
+        subscriber.handlePlan(now, message("p2", 1, 1, now, 10, List.of()));
+        assertEquals(
+                List.of(), subscriber.createReport(now, "p2", coldSummary()).deposits());
         assertEquals(
                 List.of(new ForwarderReport.Deposit("u", 50, 2)),
-                follower.createReport(now, "p1", coldSummary()).deposits());
+                subscriber.createReport(now, "p1", coldSummary()).deposits());
         assertEquals(
                 now + LEASE,
-                follower.currentPlan(now).slowStartQuotas().get("u").delegatedUntilMicros());
+                subscriber.currentPlan(now).slowStartQuotas().get("u").delegatedUntilMicros());
         assertEquals(
                 now + LEASE,
-                follower.currentPlan(now + LEASE - 1).slowStartQuotas().get("u").delegatedUntilMicros());
-        assertNull(follower.currentPlan(now + LEASE).slowStartQuotas().get("u"));
-        assertEquals(LEASE, follower.currentPlan(now).ownQuotaBlockedUntilMicros());
+                subscriber
+                        .currentPlan(now + LEASE - 1)
+                        .slowStartQuotas()
+                        .get("u")
+                        .delegatedUntilMicros());
+        assertNull(subscriber.currentPlan(now + LEASE).slowStartQuotas().get("u"));
+        assertEquals(LEASE, subscriber.currentPlan(now).ownQuotaBlockedUntilMicros());
     }
 
     @Test
     void grantsOfSeveralPlannersAddUpAndExpireSeparately() {
         long now = 10 * SECOND;
         PlanMessage.Grant grant = new PlanMessage.Grant("u", 50, 2);
-        follower.handlePlan(now, message("p1", 1, 1, now - 300_000, 10, List.of(grant)));
-        follower.handlePlan(now, message("p2", 1, 1, now - 100_000, 10, List.of(grant)));
+        subscriber.handlePlan(now, message("p1", 1, 1, now - 300_000, 10, List.of(grant)));
+        subscriber.handlePlan(now, message("p2", 1, 1, now - 100_000, 10, List.of(grant)));
         assertEquals(
-                2, follower.currentPlan(now).slowStartQuotas().get("u").grants().size());
+                2,
+                subscriber.currentPlan(now).slowStartQuotas().get("u").grants().size());
         assertEquals(
                 1,
-                follower.currentPlan(now + 300_000)
+                subscriber
+                        .currentPlan(now + 300_000)
                         .slowStartQuotas()
                         .get("u")
                         .grants()
                         .size());
-        assertNull(follower.currentPlan(now + 500_000).slowStartQuotas().get("u"));
+        assertNull(subscriber.currentPlan(now + 500_000).slowStartQuotas().get("u"));
     }
 
     @Test
@@ -291,8 +299,8 @@
         }
         LoadBalancingPolicy.Summary summary = new LoadBalancingPolicy.Summary(List.of(1.0), many, 0);
         List<ForwarderReport.Load> first =
-                follower.createReport(SECOND, "p", summary).loads();
+                subscriber.createReport(SECOND, "p", summary).loads();
         assertEquals(ForwarderReport.MAX_LOADS, first.size());
-        assertNotEquals(first, follower.createReport(SECOND, "p", summary).loads());
+        assertNotEquals(first, subscriber.createReport(SECOND, "p", summary).loads());
     }
 }
--- a/src/test/java/sedgeyoke/plan/remote/PlannerConnectionTest.java
+++ b/src/test/java/sedgeyoke/plan/remote/PlannerConnectionTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sedgeyoke.plan.Follower;
+import sedgeyoke.plan.PlanSubscriber;
 import sedgeyoke.policy.LoadBalancingPolicy;
 import sedgeyoke.proxy.PolicyPort;
 import sedgeyoke.settings.OperatorFile;
@@ -442,7 +442,7 @@
         PlannerClient client = new PlannerClient(
                 loop,
                 port,
-                new Follower.Identity("f1", 3, 0, 1_500_000, 4_000_000, 1),
+                new PlanSubscriber.Identity("f1", 3, 0, 1_500_000, 4_000_000, 1),
                 OperatorFile.load(file).plans());
         loop.execute(client::start);
         await(
