--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/DiscoveryFailures.java
@@ -0,0 +1,60 @@
+package sedgeyoke.proxy;
+
+import java.util.function.LongSupplier;
+
+/**
+ * Logs and counts the calls to discovery that fail or get no answer in time, and how long discovery was unavailable.
+ * Times are microseconds. Event loop only.
+ */
+final class DiscoveryFailures {
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long NOT_FAILING = Long.MIN_VALUE;
+
+    private final LongSupplier clockMicros;
+    private final RateLimitedLog log;
+    private final DiscoveryMetrics metrics;
+    /** When the first of the calls that have failed in a row began. */
+    private long failingSinceMicros = NOT_FAILING;
+
+    DiscoveryFailures(LongSupplier clockMicros, RateLimitedLog log, DiscoveryMetrics metrics) {
+        this.clockMicros = clockMicros;
+        this.log = log;
+        this.metrics = metrics;
+    }
+
+    /** A call has got no complete answer in time and is retried. */
+    void answerOverdue(long callStartedMicros) {
+        metrics.count(DiscoveryMetrics.Event.ANSWER_OVERDUE);
+        log.state("discovery: no complete answer after " + millisSince(callStartedMicros) + " ms, asks again");
+        recordFailure(callStartedMicros);
+    }
+
+    /** A call has failed. The first failure in a row is a change of state; the rest are lines that a peer causes. */
+    void callFailed(long callStartedMicros, String reason) {
+        metrics.count(DiscoveryMetrics.Event.CALL_FAILED);
+        if (failingSinceMicros == NOT_FAILING) {
+            log.state("discovery: " + reason);
+        } else {
+            log.line("discovery: " + reason);
+        }
+        recordFailure(callStartedMicros);
+    }
+
+    /** A list was accepted. */
+    void recovered() {
+        if (failingSinceMicros != NOT_FAILING) {
+            log.state("discovery: answers again after " + millisSince(failingSinceMicros) + " ms");
+            failingSinceMicros = NOT_FAILING;
+        }
+    }
+
+    private void recordFailure(long callStartedMicros) {
+        if (failingSinceMicros == NOT_FAILING) {
+            failingSinceMicros = callStartedMicros;
+        }
+    }
+
+    private long millisSince(long timeMicros) {
+        return (clockMicros.getAsLong() - timeMicros) / MICROS_PER_MILLI;
+    }
+}
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/EndpointListResponse.java
@@ -0,0 +1,34 @@
+package sedgeyoke.proxy;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import sedgeyoke.simulator.SettingsReader;
+
+/** Reads the endpoint list from a response of discovery. */
+final class EndpointListResponse {
+    private EndpointListResponse() {}
+
+    /** Throws if the response is no success, or its body no valid list; the message names what is wrong. */
+    static EndpointList read(FullHttpResponse response, SettingsReader.InstanceSettings instanceSettings)
+            throws InvalidEndpointListException {
+        if (response.status().code() != HttpResponseStatus.OK.code()
+                || response.decoderResult().isFailure()) {
+            throw new InvalidEndpointListException("answered " + response.status());
+        }
+        try {
+            return EndpointList.read(
+                    BalancerConfig.JSON.readTree(ByteBufUtil.getBytes(response.content())), instanceSettings);
+        } catch (InvalidEndpointListException e) {
+            throw new InvalidEndpointListException("malformed list: " + e.getMessage());
+        } catch (JsonProcessingException e) {
+            throw new InvalidEndpointListException(
+                    "malformed list: " + e.getMessage().lines().findFirst().orElse(""));
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/OverdueAnswer.java
@@ -0,0 +1,46 @@
+package sedgeyoke.proxy;
+
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * The connection of a call to discovery that got no answer in time and was retried on another connection. The answer is
+ * awaited for a limited time, as it may only be slow. At most one is awaited. Event loop only.
+ */
+final class OverdueAnswer {
+    private final EventLoop loop;
+    /** Null if no answer is awaited. */
+    private DiscoveryConnection connection;
+
+    private Future<?> timeout;
+
+    OverdueAnswer(EventLoop loop) {
+        this.loop = loop;
+    }
+
+    /** Whether an answer is awaited. */
+    boolean isAwaited() {
+        return connection != null;
+    }
+
+    /** Whether the answer is awaited on this connection. */
+    boolean isAwaitedOn(DiscoveryConnection other) {
+        return connection == other;
+    }
+
+    /** Awaits the answer of a connection; none may be awaited yet. */
+    void await(DiscoveryConnection overdue, long timeoutMicros) {
+        connection = overdue;
+        timeout = loop.schedule(this::abandon, timeoutMicros, TimeUnit.MICROSECONDS);
+    }
+
+    /** Closes the connection; its answer would be ignored. Does nothing if none is awaited. */
+    void abandon() {
+        if (connection != null) {
+            timeout.cancel(false);
+            connection.close();
+            connection = null;
+        }
+    }
+}
--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -69,7 +69,8 @@
                 loop, clock::now, settings, config.instanceSettings().reportNames(), bodies, budget, exchanges, log);
         int maxUpstreamConnections = (int) (UPSTREAM_SOCKET_SHARE * config.sockets());
         this.pool = new UpstreamConnectionPool(context, transport, maxUpstreamConnections, metrics);
-        this.discovery = new DiscoveryClient(loop, config, transport, new ListReceiver(), log, discoveryMetrics);
+        this.discovery =
+                new DiscoveryClient(loop, config, transport, clock::now, new ListReceiver(), log, discoveryMetrics);
         this.cordons = new Cordons(clock, events, pool, new CordonStore(cordonFile(config)), log);
         PolicyActions actions = new PolicyActions(loop, clock, settings, events, exchanges, pool, discovery, log);
         events.connect(policy.apply(actions), exchanges::endUnanswered);
@@ -139,7 +140,7 @@
 
     /** Whether clients may be taken: discovery has answered, or the configured list has to do. */
     boolean ready() {
-        return discovery.listed() || !config.known().members().isEmpty() && confirmedList.released();
+        return discovery.hasList() || !config.known().members().isEmpty() && confirmedList.released();
     }
 
     // ---- For the frontend ----------------------------------------------------------------------------
