--- a/src/main/java/sedgeyoke/proxy/ClientConnections.java
+++ b/src/main/java/sedgeyoke/proxy/ClientConnections.java
@@ -1,19 +1,18 @@
 package sedgeyoke.proxy;
 
-import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 
 /**
- * The open connections of clients, and which of them are closed or rejected where sockets are scarce. To be used on
- * the event loop.
+ * The open connections of clients, and how many there may be: from when on further ones wait, requests are rejected and
+ * idle connections must go; {@link ClientConnectionCloser} closes them. To be used on the event loop.
  */
 final class ClientConnections {
     /** Share of the sockets for clients; at that many, connections are no longer accepted. */
     private static final double CLIENT_SHARE = 0.5;
     /** So many below that, connections without a request are closed, and further requests are rejected. */
-    private static final int RESERVE = 32;
+    private static final int RESERVED_CONNECTIONS = 32;
     /** Clients may hold a third of the sockets. From this share on, the longest idle connections are closed. */
     private static final double SCARCE_SHARE = 0.125;
     /** From this share on, half of that third, each response ends its connection. */
@@ -72,7 +71,7 @@
 
     /** Whether a further request must be rejected for lack of sockets. */
     boolean mustReject() {
-        return busy > maxConnections - RESERVE;
+        return busy > maxConnections - RESERVED_CONNECTIONS;
     }
 
     /**
@@ -83,44 +82,23 @@
         return busy + idle > CROWDED_SHARE * sockets;
     }
 
-    /** Lets each connection check its timeouts. */
-    void checkTimeouts(long now) {
-        List.copyOf(connections).forEach(connection -> connection.checkTimeouts(now));
+    /** The open connections at this moment, which may be closed while a caller goes through them. */
+    List<ClientConnection> copy() {
+        return List.copyOf(connections);
     }
 
-    /** Ends connections at a graceful shutdown; see {@link ClientConnection#shutDown}. */
-    void shutDown(long now, boolean immediately) {
-        List.copyOf(connections).forEach(connection -> connection.shutDown(now, immediately));
-    }
-
-    /**
-     * Closes the longest idle connections where many are open. Clients that send one request and keep the connection
-     * would otherwise reach their own limit, and their further requests would never be received.
-     */
-    void closeExcessIdle(long now) {
-        List<ClientConnection> idleConnections = connections.stream()
-                .filter(ClientConnection::isIdle)
-                .sorted(Comparator.comparingLong(ClientConnection::stateSinceMicros))
-                .toList();
-        long excess = busy + idleConnections.size() - (long) (SCARCE_SHARE * sockets);
-        idleConnections.stream()
-                .limit(Math.max(0, excess))
-                .filter(connection -> connection.exceedsShortIdle(now))
-                .forEach(ClientConnection::close);
+    /** How many of so many idle connections are more than clients should keep open; 0 for none. */
+    long excess(int idleConnections) {
+        return Math.max(0, busy + idleConnections - (long) (SCARCE_SHARE * sockets));
     }
 
     /** Whether connections without a request must be closed in favour of new ones. */
     boolean isNearlyFull() {
-        return connections.size() > maxConnections - RESERVE;
+        return connections.size() > maxConnections - RESERVED_CONNECTIONS;
     }
 
-    /** Closes those connections without a request that have been so for longest. */
-    void makeRoom(long now) {
-        connections.stream()
-                .filter(connection -> connection.mayMakeRoom(now))
-                .sorted(Comparator.comparingLong(ClientConnection::stateSinceMicros))
-                .limit(connections.size() - maxConnections + RESERVE)
-                .toList()
-                .forEach(ClientConnection::close);
+    /** How many connections must be closed until the reserve is free again; only if {@link #isNearlyFull}. */
+    int missingReserve() {
+        return connections.size() - maxConnections + RESERVED_CONNECTIONS;
     }
 }
--- a/src/main/java/sedgeyoke/proxy/ClientTimeouts.java
+++ b/src/main/java/sedgeyoke/proxy/ClientTimeouts.java
@@ -3,8 +3,8 @@
 import sedgeyoke.body.BodyLimits;
 
 /**
- * How long a client's connection may stay in each state. {@code elapsed} is the time since it entered the state, and
- * {@code idle} says that no request of its client is waiting either; all times are microseconds.
+ * How long a client's connection may stay in each state. {@code elapsedMicros} is the time since it entered the state,
+ * and {@code idle} says that no request of its client is waiting either; all times are microseconds.
  */
 final class ClientTimeouts {
     /** For the first complete request of a new connection, and for the rest of one of which a part was received. */
@@ -25,38 +25,40 @@
     }
 
     /** Whether a request that is partly received must be rejected. */
-    boolean requestExpired(long elapsed) {
-        return elapsed > REQUEST_MICROS;
+    boolean requestExpired(long elapsedMicros) {
+        return elapsedMicros > REQUEST_MICROS;
     }
 
     /** Whether the connection must be closed, because its client sends nothing, reads nothing or does not leave. */
-    boolean mustClose(ClientConnectionState state, boolean idle, long elapsed) {
-        return state == ClientConnectionState.NEW && elapsed > REQUEST_MICROS
-                || idle && elapsed > IDLE_MICROS
-                || state == ClientConnectionState.WRITING && elapsed > responseMicros
-                || state == ClientConnectionState.CLOSING && elapsed > CLOSING_MICROS;
+    boolean mustClose(ClientConnectionState state, boolean idle, long elapsedMicros) {
+        return state == ClientConnectionState.NEW && elapsedMicros > REQUEST_MICROS
+                || idle && elapsedMicros > IDLE_MICROS
+                || state == ClientConnectionState.WRITING && elapsedMicros > responseMicros
+                || state == ClientConnectionState.CLOSING && elapsedMicros > CLOSING_MICROS;
     }
 
     /** Whether a client has connected some time ago and has sent nothing. */
-    boolean isSilent(ClientConnectionState state, long elapsed) {
-        return state == ClientConnectionState.NEW && elapsed > SILENT_MICROS;
+    boolean isSilent(ClientConnectionState state, long elapsedMicros) {
+        return state == ClientConnectionState.NEW && elapsedMicros > SILENT_MICROS;
     }
 
     /**
      * Whether a client has not left after its last response. Sooner than that the response may be on its way, and
      * closing a socket with unread bytes would reset the connection under it.
      */
-    boolean isLingering(ClientConnectionState state, long elapsed) {
-        return state == ClientConnectionState.CLOSING && elapsed > SILENT_MICROS;
+    boolean isLingering(ClientConnectionState state, long elapsedMicros) {
+        return state == ClientConnectionState.CLOSING && elapsedMicros > SILENT_MICROS;
     }
 
     /** Whether an idle connection may be closed where connections are scarce. */
-    boolean exceedsShortIdle(long elapsed) {
-        return elapsed > SHORT_IDLE_MICROS;
+    boolean exceedsShortIdle(long elapsedMicros) {
+        return elapsedMicros > SHORT_IDLE_MICROS;
     }
 
     /** Whether the connection may be closed in favour of a new one. */
-    boolean mayMakeRoom(ClientConnectionState state, boolean idle, long elapsed) {
-        return isLingering(state, elapsed) || isSilent(state, elapsed) || idle && exceedsShortIdle(elapsed);
+    boolean mayMakeRoom(ClientConnectionState state, boolean idle, long elapsedMicros) {
+        return isLingering(state, elapsedMicros)
+                || isSilent(state, elapsedMicros)
+                || idle && exceedsShortIdle(elapsedMicros);
     }
 }
--- a/src/main/java/sedgeyoke/proxy/HttpFrontend.java
+++ b/src/main/java/sedgeyoke/proxy/HttpFrontend.java
@@ -9,7 +9,6 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.EventLoop;
 import io.netty.channel.ServerChannel;
-import io.netty.handler.codec.http.HttpResponseEncoder;
 import java.nio.channels.ServerSocketChannel;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.body.BodyLimits;
@@ -34,8 +33,8 @@
     private final ProxyCore core;
     private final BodyLimits limits;
     private final RequestParser parser;
-    private final ClientTimeouts timeouts;
     private final ClientConnections connections;
+    private final ClientConnectionCloser closer;
     /** A listener that the platform holds and other processes may share; null if this process binds its own. */
     private final ServerSocketChannel inherited;
 
@@ -65,8 +64,8 @@
         this.limits = limits;
         this.inherited = inherited;
         this.parser = new RequestParser(config, core);
-        this.timeouts = new ClientTimeouts(limits);
         this.connections = new ClientConnections(config.sockets());
+        this.closer = new ClientConnectionCloser(connections, new ClientTimeouts(limits));
     }
 
     // ---- Listener ------------------------------------------------------------------------------------
@@ -140,15 +139,8 @@
             if (limits.streaming()) {
                 Transport.limitBuffers(channel, limits);
             }
-            ClientConnection connection =
-                    new ClientConnection(channel, HttpFrontend.this, connections, core, parser, limits, timeouts);
-            channel.pipeline()
-                    .addLast(
-                            connection.new PipelineLimiter(),
-                            new RequestValidator.Decoder(limits.part()),
-                            new HttpResponseEncoder(),
-                            new RequestValidator(connection::validate, limits.longestBody()),
-                            connection);
+            new ClientConnection(channel, HttpFrontend.this, connections, core, parser, limits)
+                    .addTo(channel.pipeline());
         }
     }
 
@@ -162,7 +154,7 @@
     /** Makes room for new connections if need be, and accepts more only where there is room. */
     void updateAccepting() {
         if (connections.isNearlyFull()) {
-            connections.makeRoom(core.now());
+            closer.makeRoom(core.now());
         }
         boolean hasRoom = connections.mayAccept();
         if (!hasRoom) {
@@ -180,9 +172,9 @@
     }
 
     private void checkConnections() {
-        long now = core.now();
-        connections.checkTimeouts(now);
-        connections.closeExcessIdle(now);
+        long nowMicros = core.now();
+        closer.closeTimedOut(nowMicros);
+        closer.closeExcessIdle(nowMicros);
         updateAccepting();
     }
 
@@ -234,8 +226,10 @@
      * @param immediately rejects incomplete requests and closes connections of clients that do not leave
      */
     void close(boolean immediately) {
-        if (closing) {
-            connections.shutDown(core.now(), immediately);
+        if (closing && immediately) {
+            closer.closeAllForShutdown(core.now());
+        } else if (closing) {
+            closer.closeIdleForShutdown(core.now());
         }
         closing = true;
     }
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/IncomingRequest.java
@@ -0,0 +1,207 @@
+package sedgeyoke.proxy;
+
+import io.netty.channel.Channel;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.LastHttpContent;
+import sedgeyoke.body.BodyBudget;
+import sedgeyoke.body.BodyLimits;
+import sedgeyoke.body.MinimumTransferRate;
+
+/**
+ * The request that is being read on one connection, with its body. It goes to {@link RequestAdmission} once, as soon as
+ * its body is complete or too long to be buffered. To be used on the event loop.
+ */
+final class IncomingRequest implements RequestBody.Source {
+    private final Channel channel;
+    private final ClientConnection connection;
+    private final ProxyCore core;
+    private final BodyLimits limits;
+    private final BodyBudget budget;
+    private final RequestAdmission admission;
+    private final ResponseWriter responses;
+
+    private HttpRequest head;
+    /** Null once the end of the body was received, or nothing more of it is to be read. */
+    private RequestBody body;
+    /** Null unless a body is being read, and long ones are streamed. */
+    private MinimumTransferRate uploadRate;
+
+    IncomingRequest(
+            Channel channel,
+            ClientConnection connection,
+            ProxyCore core,
+            BodyLimits limits,
+            RequestAdmission admission,
+            ResponseWriter responses) {
+        this.channel = channel;
+        this.connection = connection;
+        this.core = core;
+        this.limits = limits;
+        this.budget = core.budget();
+        this.admission = admission;
+        this.responses = responses;
+    }
+
+    /** Whether a part of its body is still to be received. */
+    boolean isReadingBody() {
+        return body != null;
+    }
+
+    /** Whether its body is too long to be buffered, and is still being received. */
+    boolean isStreaming() {
+        return body != null && body.streams();
+    }
+
+    /** Whether its body must come at a minimum rate. */
+    boolean hasMinimumRate() {
+        return uploadRate != null;
+    }
+
+    /** Whether its body comes more slowly than at its minimum rate; only if {@link #hasMinimumRate}. */
+    boolean isBelowMinimumRate(long nowMicros) {
+        return uploadRate.tooSlow(nowMicros);
+    }
+
+    // ---- Reading -------------------------------------------------------------------------------------
+
+    /** Begins with the head, which was validated. */
+    void begin(HttpRequest validatedHead) {
+        if (connection.state() == ClientConnectionState.NEW || connection.state() == ClientConnectionState.IDLE) {
+            connection.enter(ClientConnectionState.READING);
+        }
+        head = validatedHead;
+        body = new RequestBody(this, limits.gathered());
+        uploadRate = limits.streaming() ? new MinimumTransferRate(limits, core.now()) : null;
+        if (HttpUtil.is100ContinueExpected(validatedHead)) {
+            channel.writeAndFlush(ClientResponses.proceed());
+        }
+    }
+
+    /**
+     * Adds a part of the body, received at {@code receivedMicros}, and takes over its reference. True if thereby the
+     * body has become too long to be buffered, so that the request was forwarded or rejected before its end.
+     */
+    boolean add(HttpContent content, long receivedMicros) {
+        if (body == null) {
+            content.release();
+            return false;
+        }
+        if (uploadRate != null) {
+            uploadRate.came(content.content().readableBytes());
+        }
+        boolean last = content instanceof LastHttpContent;
+        boolean mustStream = body.add(content.content());
+        budget.recordBuffered(body.bufferedBytes());
+        if (mustStream && !beginStreaming(receivedMicros)) {
+            return true;
+        }
+        if (last) {
+            end(receivedMicros);
+        }
+        return mustStream;
+    }
+
+    /** As {@link #add}; if that throws, the client gets a response nevertheless. */
+    void addAnsweringOnFailure(HttpContent content, long receivedMicros) {
+        answeringOnFailure(() -> add(content, receivedMicros));
+    }
+
+    /**
+     * Begins to forward a request whose body is too long to be buffered, or rejects it where too many are streamed.
+     * False if nothing more of the body is to be read.
+     */
+    private boolean beginStreaming(long receivedMicros) {
+        if (!responses.reserveBody()) {
+            stopReadingBody().abort();
+            admission.rejectForLackOfBodyRoom();
+            return false;
+        }
+        RequestBody streamed = body;
+        responses.expectResponse();
+        answeringOnFailure(() -> admission.admit(head, streamed, receivedMicros));
+        return body != null;
+    }
+
+    private void end(long receivedMicros) {
+        RequestBody complete = stopReadingBody();
+        boolean streaming = complete.streams();
+        complete.end();
+        if (streaming) {
+            read(true);
+        } else {
+            responses.expectResponse();
+            answeringOnFailure(() -> admission.admit(head, complete, receivedMicros));
+        }
+    }
+
+    /** A streamed body is read as fast as the upstream takes it; after its end the client's close is awaited. */
+    @Override
+    public void read(boolean on) {
+        if (uploadRate != null) {
+            uploadRate.reading(on, core.now());
+        }
+        channel.config().setAutoRead(on || body == null);
+    }
+
+    private void answeringOnFailure(Runnable handling) {
+        try {
+            handling.run();
+        } catch (RuntimeException e) {
+            responses.failedInternally(e);
+        }
+    }
+
+    // ---- A request that is not read to its end -------------------------------------------------------
+
+    /** Rejects it although its rest is not read. If a part was forwarded, its end never will be. */
+    void reject(RequestValidator.Rejection rejection) {
+        RequestBody rejected = stopReadingBody();
+        if (rejected == null || !rejected.streams()) {
+            responses.expectResponse();
+            responses.rejected(rejection.status(), rejection.reason());
+        } else {
+            Exchange aborted = responses.exchange();
+            responses.rejected(rejection.status(), rejection.reason());
+            abortStreamedBody(aborted, rejected);
+        }
+    }
+
+    /** The channel is closed: the exchange in flight, complete or not, ends. */
+    void clientDisconnected() {
+        RequestBody incomplete = stopReadingBody();
+        Exchange abandoned = responses.abandonExchange();
+        if (incomplete != null && incomplete.streams()) {
+            abortStreamedBody(abandoned, incomplete);
+        } else if (incomplete != null) {
+            incomplete.abort();
+        } else if (abandoned != null) {
+            core.clientDisconnected(abandoned);
+        }
+    }
+
+    /** Ends a body of which a part was forwarded; its exchange is null if its response has begun. */
+    private void abortStreamedBody(Exchange exchange, RequestBody streamed) {
+        if (exchange != null) {
+            core.requestBodyAborted(exchange);
+        }
+        streamed.abort();
+    }
+
+    /** Drops what was received of its body. */
+    void discard() {
+        RequestBody incomplete = stopReadingBody();
+        if (incomplete != null) {
+            incomplete.abort();
+        }
+    }
+
+    /** Takes the body that is being read, which nothing is added to from now on; null if there is none. */
+    private RequestBody stopReadingBody() {
+        RequestBody stopped = body;
+        body = null;
+        uploadRate = null;
+        return stopped;
+    }
+}
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/RequestAdmission.java
@@ -0,0 +1,104 @@
+package sedgeyoke.proxy;
+
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import java.util.ArrayDeque;
+import java.util.Queue;
+import sedgeyoke.policy.LoadBalancingPolicy.Request;
+
+/**
+ * Decides on each request of one connection whether it is submitted to {@link ProxyCore}: by its head, before any of
+ * its body is buffered, and again when its turn has come. To be used on the event loop.
+ */
+final class RequestAdmission {
+    private final ClientConnection connection;
+    private final HttpFrontend frontend;
+    private final ClientConnections connections;
+    private final ProxyCore core;
+    private final RequestParser parser;
+    private final ResponseWriter responses;
+
+    /** Valid requests, until the rest of each is received and its turn has come. */
+    private final Queue<Request> validatedRequests = new ArrayDeque<>();
+    /** How long the connection may have waited to be accepted; counts for its first request. */
+    private long acceptDelayMicros;
+    /** Whether no request has been submitted yet. */
+    private boolean firstRequest = true;
+
+    RequestAdmission(
+            ClientConnection connection,
+            HttpFrontend frontend,
+            ClientConnections connections,
+            ProxyCore core,
+            RequestParser parser,
+            ResponseWriter responses) {
+        this.connection = connection;
+        this.frontend = frontend;
+        this.connections = connections;
+        this.core = core;
+        this.parser = parser;
+        this.responses = responses;
+    }
+
+    /** The connection was accepted after it may have waited that long. */
+    void connectionAccepted(long waitedMicros) {
+        acceptDelayMicros = waitedMicros;
+    }
+
+    /** Checks the head of a request before its body is read; the rejection, or null for a valid request. */
+    RequestValidator.Rejection validate(HttpRequest head) {
+        try {
+            Request request = parser.parse(head);
+            if (request != null && connection.state() != ClientConnectionState.CLOSING) {
+                validatedRequests.add(request);
+            }
+            return null;
+        } catch (InvalidRequestException e) {
+            return new RequestValidator.Rejection(e.status(), e.getMessage());
+        }
+    }
+
+    /** Submits the next validated request, of which a part was received at {@code receivedMicros}, or rejects it. */
+    void admit(HttpRequest head, RequestBody body, long receivedMicros) {
+        responses.clientKeepsAlive(HttpUtil.isKeepAlive(head));
+        if (RequestParser.isHealthCheck(head)) {
+            responses.health(frontend.takesClients());
+            return;
+        }
+        Request request = validatedRequests.remove();
+        if (connections.mustReject()) {
+            responses.rejectedForLackOfRoom(request.classIndex());
+        } else if (core.knows(request.id())) { // another connection has sent this id since the head was validated
+            responses.rejected(HttpResponseStatus.BAD_REQUEST, RequestParser.DUPLICATE_ID);
+        } else {
+            submit(request, head, body, receivedMicros);
+        }
+    }
+
+    private void submit(Request request, HttpRequest head, RequestBody body, long receivedMicros) {
+        responses.submit(new Exchange(
+                request,
+                head.method(),
+                head.uri(),
+                RequestParser.forwardedHeaders(head.headers()),
+                body,
+                HttpUtil.getContentLength(head, -1L),
+                core.now() - receivedMicros + (firstRequest ? acceptDelayMicros : 0),
+                firstRequest,
+                responses));
+        firstRequest = false;
+    }
+
+    /** Rejects the next validated request, whose long body finds no room among those that are streamed. */
+    void rejectForLackOfBodyRoom() {
+        Request rejected = validatedRequests.remove();
+        responses.expectResponse();
+        responses.rejectedForLackOfRoom(rejected.classIndex());
+    }
+
+    /** Forgets the requests whose turn will not come. */
+    void discardValidated() {
+        validatedRequests.clear();
+    }
+}
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/RequestReader.java
@@ -0,0 +1,226 @@
+package sedgeyoke.proxy;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.util.ReferenceCountUtil;
+
+/**
+ * Reads the requests of one connection one after the other. What the client pipelines behind the
+ * {@link IncomingRequest} or the request in flight waits until the response is written. To be used on the event loop.
+ */
+final class RequestReader {
+    private final Channel channel;
+    private final ClientConnection connection;
+    private final ProxyCore core;
+    private final IncomingRequest incoming;
+    private final PipelinedRequests pipelined;
+    private final RequestAdmission admission;
+
+    /** The end of the request that is being read, until the channel has no more to read for now. */
+    private LastHttpContent lastContent;
+    /** When the last part of a request that was processed had been received. */
+    private long receivedMicros;
+    /** Whether the channel is in the middle of a read. */
+    private boolean readInProgress;
+    /** Whether that read has brought the end of a request, or its rejection. */
+    private boolean requestCompletedInRead;
+
+    RequestReader(
+            Channel channel,
+            ClientConnection connection,
+            ProxyCore core,
+            IncomingRequest incoming,
+            PipelinedRequests pipelined,
+            RequestAdmission admission) {
+        this.channel = channel;
+        this.connection = connection;
+        this.core = core;
+        this.incoming = incoming;
+        this.pipelined = pipelined;
+        this.admission = admission;
+    }
+
+    // ---- What is being read --------------------------------------------------------------------------
+
+    /** Whether a part of a body is still to be received. */
+    boolean isReadingBody() {
+        return incoming.isReadingBody();
+    }
+
+    /** Whether a request was received in part. */
+    boolean isRequestIncomplete() {
+        return connection.state() == ClientConnectionState.READING && lastContent == null;
+    }
+
+    /** Whether a part of the request that is being read was forwarded. */
+    boolean isStreaming() {
+        return incoming.isStreaming();
+    }
+
+    /** Whether a body is being read that must come at a minimum rate. */
+    boolean hasMinimumRate() {
+        return lastContent == null && incoming.hasMinimumRate();
+    }
+
+    /** Whether a body comes more slowly than at its minimum rate; only if {@link #hasMinimumRate}. */
+    boolean isBelowMinimumRate(long nowMicros) {
+        return incoming.isBelowMinimumRate(nowMicros);
+    }
+
+    /** Whether what is received belongs to a pipelined request, behind the one that is being read or in flight. */
+    private boolean isPipelined() {
+        return lastContent != null || !incoming.isReadingBody() && (connection.isBusy() || !pipelined.isEmpty());
+    }
+
+    /** Whether another request waits behind the one in flight. */
+    boolean hasPipelined() {
+        return !pipelined.isEmpty();
+    }
+
+    /** Whether the client may send another request: not if a part of this one, or of the next, is left unread. */
+    boolean mayReadAnotherRequest() {
+        return !incoming.isReadingBody() && pipelined.mayContinue();
+    }
+
+    // ---- Received from the channel -------------------------------------------------------------------
+
+    /** Counts bytes before they are decoded, and discards them where too many are pipelined. */
+    final class PipelineLimiter extends ChannelInboundHandlerAdapter {
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object bytes) {
+            if (isPipelined()) {
+                pipelined.countReceived(((ByteBuf) bytes).readableBytes());
+            }
+            if (pipelined.overflowed()) {
+                ReferenceCountUtil.release(bytes);
+            } else {
+                ctx.fireChannelRead(bytes);
+            }
+        }
+    }
+
+    /** Takes a decoded part of a request, or the rejection of one, and its reference. */
+    void received(Object message) {
+        readInProgress = true;
+        if (connection.isOver()) {
+            ReferenceCountUtil.release(message);
+        } else if (isPipelined()) {
+            pipelined.add(message, core.now()); // and reading goes on, or the client's close would not be seen
+        } else {
+            receivedMicros = core.now();
+            process(message);
+        }
+    }
+
+    /** The channel has no more to read for now. */
+    void readCompleted() {
+        if (!requestCompletedInRead) {
+            connection.requestIncomplete();
+        }
+        requestCompletedInRead = false;
+        readInProgress = false;
+        if (lastContent != null) {
+            channel.eventLoop().execute(this::processLastContent); // after a close that was received with it
+        }
+    }
+
+    /**
+     * Completes a request once the channel has no more to read for now. The end of a client that has left comes with
+     * the last bytes of its request, and such a request must not be forwarded.
+     */
+    private void processLastContent() {
+        LastHttpContent last = lastContent;
+        lastContent = null;
+        if (last != null && channel.isActive()) {
+            incoming.addAnsweringOnFailure(last, receivedMicros);
+        } else {
+            ReferenceCountUtil.release(last);
+        }
+    }
+
+    /** The response is written: the next request begins, if it was received already. */
+    void continueWithPipelined() {
+        if (pipelined.isEmpty()) {
+            pipelined.resetCount();
+        } else {
+            channel.eventLoop().execute(this::processPipelined);
+        }
+    }
+
+    private void processPipelined() {
+        while (!pipelined.isEmpty()
+                && channel.isActive()
+                && (connection.state() == ClientConnectionState.IDLE
+                        || connection.state() == ClientConnectionState.READING && incoming.isReadingBody())) {
+            PipelinedRequests.Part part = pipelined.poll();
+            receivedMicros = part.receivedMicros();
+            process(part.message());
+        }
+        if (pipelined.isEmpty()) {
+            pipelined.resetCount();
+        }
+    }
+
+    // ---- Reading a request ---------------------------------------------------------------------------
+
+    /** Processes a part of the next request, or of the one that is being read. */
+    private void process(Object message) {
+        if (message instanceof RequestValidator.Rejection rejection) {
+            reject(rejection);
+            return;
+        }
+        if (message instanceof HttpRequest head) {
+            incoming.begin(head);
+        }
+        if (readInProgress && incoming.isReadingBody() && message instanceof LastHttpContent last) {
+            requestCompletedInRead = true;
+            lastContent = last;
+        } else if (message instanceof HttpContent content && incoming.add(content, receivedMicros)) {
+            requestCompletedInRead = readInProgress;
+        }
+    }
+
+    // ---- A request that is not read to its end -------------------------------------------------------
+
+    /** Rejects a request whose rest cannot or must not be read. */
+    void reject(RequestValidator.Rejection rejection) {
+        discardLastContent();
+        if (!incoming.isStreaming()) {
+            requestCompletedInRead = readInProgress;
+        }
+        incoming.reject(rejection);
+    }
+
+    /** The channel is closed: what was read is discarded, and the exchange in flight ends. */
+    void clientDisconnected() {
+        discardPipelined();
+        incoming.clientDisconnected();
+    }
+
+    /** Discards what was read and is not yet submitted. */
+    void discardReceived() {
+        discardPipelined();
+        incoming.discard();
+    }
+
+    private void discardPipelined() {
+        discardLastContent();
+        admission.discardValidated();
+        pipelined.discard();
+    }
+
+    private void discardLastContent() {
+        ReferenceCountUtil.release(lastContent);
+        lastContent = null;
+    }
+
+    /** The channel is closed: its pipelined bytes no longer count among those of all connections. */
+    void stopCountingPipelined() {
+        pipelined.resetCount();
+    }
+}
