--- a/src/main/java/sedgeyoke/policy/AdmissionControl.java
+++ b/src/main/java/sedgeyoke/policy/AdmissionControl.java
@@ -73,14 +73,14 @@
         if (request.request.retry()) {
             request.objectiveAtMicros -= (long) rejectionDelaysMicros[request.request.classIndex()];
         }
-        boolean withinQuota = isWithinTenantQuota(request.request.tenant(), nowMicros);
+        boolean withinQuota = takeTenantToken(request.request.tenant(), nowMicros);
         request.priority = request.requestClass.priorityWeight()
                 / (settings.priorityWeightByWork() ? 1 : request.cost)
                 * (withinQuota ? 1 : settings.overQuotaPriority());
     }
 
-    /** Whether a request is within our share of its tenant's allowance; beyond it, it loses priority. */
-    private boolean isWithinTenantQuota(int tenant, long nowMicros) {
+    /** Charges a request to our share of its tenant's allowance; false beyond it, where it loses priority. */
+    private boolean takeTenantToken(int tenant, long nowMicros) {
         boolean known = tenant >= 0 && tenant < tenantTokens.size();
         double allowance = known ? settings.tenants().get(tenant).allowance() : 0;
         if (allowance <= 0) {
--- a/src/main/java/sedgeyoke/policy/ConcurrencyLimits.java
+++ b/src/main/java/sedgeyoke/policy/ConcurrencyLimits.java
@@ -94,7 +94,7 @@
         return upstream.inFlight.attempts() + 1 <= Math.max(1, limit);
     }
 
-    /** Whether no further attempt fits under its limit after the one that has just been counted. */
+    /** Whether one attempt more would exceed its limit; below 1, whether a pause has only just ended. */
     boolean isAtLimit(UpstreamState upstream, long nowMicros) {
         State state = upstream.concurrency;
         if (state.limit < 1) {
@@ -163,7 +163,7 @@
         }
     }
 
-    /** The time beyond the least service time, which is learnt here: the reported one rises with load. */
+    /** Updates the least service time and returns the time beyond it; the reported one rises with load. */
     private double waitingTime(UpstreamState upstream, RequestState request, double durationMicros, long nowMicros) {
         State state = upstream.concurrency;
         double units = request.hasWorkHint() ? request.cost : 1;
--- a/src/main/java/sedgeyoke/policy/Dispatcher.java
+++ b/src/main/java/sedgeyoke/policy/Dispatcher.java
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Sends another attempt of a request that may have run; whether an upstream could take it. */
+    /** Sends another attempt of a request that may have run; returns whether an upstream could take it. */
     boolean retryAtOnce(RequestState request, long nowMicros) {
         Optional<UpstreamState> upstream = selector.selectForRetry(request, nowMicros);
         upstream.ifPresent(selected -> sender.send(request, selected, nowMicros));
--- a/src/main/java/sedgeyoke/policy/LoadReports.java
+++ b/src/main/java/sedgeyoke/policy/LoadReports.java
@@ -69,6 +69,7 @@
         State state = upstream.reports;
         state.latest = report;
         state.reportedAtMicros = nowMicros;
+        // Some upstreams report only what waits.
         double active = report.active() >= 0 ? report.active() : report.waiting();
         state.active = active >= 0 ? Math.min(active, MAX_REPORTED_ACTIVE) : 0;
         meanActive += ACTIVE_SMOOTHING * (state.active - meanActive);
@@ -114,7 +115,7 @@
         return state.latest != null && nowMicros - state.reportedAtMicros <= REPORT_LIFETIME_MICROS;
     }
 
-    /** The requests of other balancers in flight there: as last reported, fading to the mean. */
+    /** All requests in flight there, most of them of other balancers: as last reported, fading to the mean. */
     double othersInFlight(UpstreamState upstream, long nowMicros) {
         double confidence = confidence(upstream.reports.reportedAtMicros, nowMicros);
         return meanActive + confidence * (upstream.reports.active - meanActive);
--- a/src/main/java/sedgeyoke/policy/OutlierDetection.java
+++ b/src/main/java/sedgeyoke/policy/OutlierDetection.java
@@ -125,7 +125,7 @@
         ready.forEach(upstream -> upstream.outlier.errorRate *= retention);
     }
 
-    /** After its ejection has ended, an upstream gets one attempt at a time until one succeeds. */
+    /** Whether it is ejected, or was and already has the one attempt that it may have until one succeeds. */
     static boolean isEjected(UpstreamState upstream, long nowMicros) {
         State state = upstream.outlier;
         return state.ejectedUntilMicros > nowMicros || state.recovering() && upstream.inFlight.attempts() > 0;
--- a/src/main/java/sedgeyoke/policy/PlanBlend.java
+++ b/src/main/java/sedgeyoke/policy/PlanBlend.java
@@ -55,7 +55,7 @@
 
     /** Replaces the plan. */
     void update(long nowMicros, Plan latest) {
-        strength(nowMicros);
+        updateStrength(nowMicros);
         plan = latest;
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** From 0, where planners have no influence, to 1. Each call moves it on to now. */
-    double strength(long nowMicros) {
+    double updateStrength(long nowMicros) {
         if (plan == null) {
             return 0;
         }
@@ -81,7 +81,7 @@
 
     /** Applies the plan again while its strength changes; at full strength the next plan is soon enough. */
     void fade(List<UpstreamState> ready, long nowMicros) {
-        double current = strength(nowMicros);
+        double current = updateStrength(nowMicros);
         if (current < 1 && (current > 0 || inForce)) {
             apply(ready, nowMicros);
         }
@@ -90,7 +90,7 @@
 
     /** Sets the factors of all ready upstreams. */
     void apply(List<UpstreamState> ready, long nowMicros) {
-        double current = strength(nowMicros);
+        double current = updateStrength(nowMicros);
         int draining = 0;
         for (UpstreamState upstream : ready) {
             State state = upstream.plan;
@@ -132,6 +132,6 @@
         }
         double own = shares.get(ownZone);
         double there = shares.get(zone);
-        return there <= 0 ? 0 : strength(nowMicros) * (own <= there ? 1 : there / own);
+        return there <= 0 ? 0 : updateStrength(nowMicros) * (own <= there ? 1 : there / own);
     }
 }
--- a/src/main/java/sedgeyoke/policy/RequestState.java
+++ b/src/main/java/sedgeyoke/policy/RequestState.java
@@ -20,7 +20,7 @@
     final KeyAffinity.CachedUpstream affinity = new KeyAffinity.CachedUpstream();
     /** When its latency objective is missed. */
     long objectiveAtMicros;
-    /** Its work as hinted, or the mean response time of its class. */
+    /** Its work in the unit of the hints, or without a hint the mean response time of its class in micros. */
     double cost;
     /** The higher it is, the sooner the request leaves the queue. */
     double priority;
@@ -29,7 +29,7 @@
     /** Whether a response has started, after which there can be no other attempt. */
     boolean streaming;
 
-    /** Why it ended without a response of an upstream; null unless it did. */
+    /** Why it ended without a response of an upstream; null unless it did. No log line or metric has it. */
     UnservedReason unservedReason;
 
     private int outstanding;
--- a/src/main/java/sedgeyoke/policy/RetryPolicy.java
+++ b/src/main/java/sedgeyoke/policy/RetryPolicy.java
@@ -11,9 +11,10 @@
  * Decides on every attempt of a request: the first, retries and hedged requests. A request whose class is not
  * idempotent is never sent again once an upstream may have run it.
  *
- * <p>A hedged request is an attempt while an earlier one is outstanding. It is allowed by
- * {@code Limits.hedging} in {@link #mayAttempt}; {@link RequestCompletion#conclude} cancels the attempts that
- * are left when the request ends.
+ * <p>A hedged request is an attempt while an earlier one is outstanding. {@code Limits.hedging} allows it in
+ * {@link #mayAttempt}, but nothing in this package starts one: a request is queued, or sent again at once, only
+ * when none of its attempts is outstanding. {@link RequestCompletion#conclude} cancels the attempts that are
+ * left when a request ends.
  */
 final class RetryPolicy {
     /** Retries that each request adds to the budget. */
@@ -47,7 +48,7 @@
         budget = Math.max(0, Math.min(MAX_BUDGET, budget + BUDGET_PER_REQUEST));
     }
 
-    /** Decides after a failure, and charges the retry budget where it applies. */
+    /** Decides after a failure; where retries are limited, this charges the budget. */
     NextStep afterFailure(RequestState request, long nowMicros) {
         if (deadlines.isOutOfTime(request, nowMicros)) {
             return NextStep.GIVE_UP;
@@ -61,6 +62,7 @@
         return hasAttemptsLeft(request) ? NextStep.QUEUE_AGAIN : NextStep.GIVE_UP;
     }
 
+    /** Takes one retry from the budget, also where less than one is left: then the retry is not allowed. */
     private boolean chargeRetry() {
         return budget-- >= 1;
     }
--- a/src/main/java/sedgeyoke/policy/SlowStart.java
+++ b/src/main/java/sedgeyoke/policy/SlowStart.java
@@ -82,7 +82,7 @@
     }
 
     /** The state of a process that is new in the endpoint list. */
-    State listed(Upstream entry, long nowMicros) {
+    State newState(Upstream entry, long nowMicros) {
         SlowStartBucket bucket = new SlowStartBucket(random.nextDouble(), nowMicros);
         return new State(bucket, 0, launchTimes.beganAtMicros(entry.id(), entry.launchedAtMicros(), nowMicros));
     }
@@ -120,7 +120,10 @@
         return initial + (1 - initial) * Math.max(0, ageMicros) / slowStartMicros;
     }
 
-    /** Whether our quota lets a request pass. Those with pending bodies do not: they could end all at once. */
+    /**
+     * Refills the bucket and says whether it lets a request pass. It stops all with pending bodies, which could
+     * end at the same time.
+     */
     boolean allows(UpstreamState upstream, RequestState request, long nowMicros) {
         if (!isWarmingUp(upstream, nowMicros)) {
             return true;
--- a/src/main/java/sedgeyoke/policy/TrafficRegime.java
+++ b/src/main/java/sedgeyoke/policy/TrafficRegime.java
@@ -159,7 +159,7 @@
     /** Whether a warming-up upstream is weighted like an affinity upstream: else its quota would go unused. */
     abstract boolean prefersWarmingUp();
 
-    /** Factor on the weight of the affinity upstream, whose cache is warm. */
+    /** The fourth power of this is a factor on the score of the affinity upstream, whose cache is warm. */
     abstract double affinityWeight();
 
     /** Weight of a failed attempt in the error rate of its upstream. */
--- a/src/main/java/sedgeyoke/policy/TrafficRegimeSelector.java
+++ b/src/main/java/sedgeyoke/policy/TrafficRegimeSelector.java
@@ -9,7 +9,7 @@
         this.balancers = balancers;
     }
 
-    void readyUpstreams(int count) {
+    void setReadyUpstreams(int count) {
         readyUpstreams = count;
     }
 
--- a/src/main/java/sedgeyoke/policy/UnservedReason.java
+++ b/src/main/java/sedgeyoke/policy/UnservedReason.java
@@ -10,6 +10,9 @@
     SHED,
     /** Its deadline came while it was queued or its attempts were outstanding. */
     OUT_OF_TIME,
-    /** Its last attempt failed, and no further one is allowed or possible. */
+    /**
+     * Its last attempt failed, and there is no further one: it would end too late, the retry budget or the
+     * number of attempts is used up, it could run twice, or no upstream may take it.
+     */
     NO_RETRY_LEFT
 }
--- a/src/main/java/sedgeyoke/policy/UpstreamScore.java
+++ b/src/main/java/sedgeyoke/policy/UpstreamScore.java
@@ -1,6 +1,9 @@
 package sedgeyoke.policy;
 
-/** Scores an upstream for a request: (weight / (in flight + 1))^4, with factors on the weight. */
+/**
+ * Scores an upstream for a request, as in Envoy's weighted least request: with dense traffic,
+ * (weight / (in flight + 1))^4; with sparse traffic, weight / slowness / (all in flight + 1)^4.
+ */
 final class UpstreamScore {
     private final TrafficRegimeSelector regimes;
     private final UtilizationReweighting reweighting;
--- a/src/main/java/sedgeyoke/policy/UpstreamTable.java
+++ b/src/main/java/sedgeyoke/policy/UpstreamTable.java
@@ -63,7 +63,7 @@
     private void update(Upstream entry, long nowMicros) {
         UpstreamState known = upstreamsById.get(entry.id());
         if (known == null || isOtherProcess(entry, known.endpoint())) {
-            add(entry, slowStart.listed(entry, nowMicros));
+            add(entry, slowStart.newState(entry, nowMicros));
         } else {
             known.update(entry);
         }
@@ -109,7 +109,7 @@
         // Sharers of a ring begin at even distances, so that all upstreams are in about as many apertures.
         Collections.rotate(ready, position % RING_SHARERS * ready.size() / RING_SHARERS);
         interleaveZones();
-        regimes.readyUpstreams(ready.size());
+        regimes.setReadyUpstreams(ready.size());
     }
 
     /** Orders the own zone and the others so that each prefix has them in proportion to their weights. */
--- a/src/test/java/sedgeyoke/policy/PlanTest.java
+++ b/src/test/java/sedgeyoke/policy/PlanTest.java
@@ -218,14 +218,14 @@
         LoadBalancingPolicy.Settings settings = new PolicyHarness.Config().settings();
         PlanBlend planned = new PlanBlend(settings, new ZonePreference(settings));
         long now = 10 * SECOND;
-        double before = planned.strength(now);
+        double before = planned.updateStrength(now);
         double steepest = 0;
         for (int step = 0; step < 3_000; step++) {
             now += 10_000;
             if (step < 800 || step > 1_600) {
                 planned.update(now, plan(now, List.of(), List.of(), Map.of()));
             }
-            double strength = planned.strength(now);
+            double strength = planned.updateStrength(now);
             steepest = Math.max(steepest, Math.abs(strength - before));
             before = strength;
             assertEquals(step == 700 || step == 2_500 ? 1 : step == 1_500 ? 0 : strength, strength, "step " + step);
