--- a/src/test/java/sedgeyoke/consensus/codec/RaftMessageCodecTest.java
+++ b/src/test/java/sedgeyoke/consensus/codec/RaftMessageCodecTest.java
@@ -92,6 +92,18 @@
                 HexFormat.of().formatHex(digest.digest()));
     }
 
+    /** The same bytes, message by message, so that a difference shows where it is. */
+    @Test
+    void theBytesOfEachMessageAreThoseRecorded() throws Exception {
+        RecordedBytes bytes = new RecordedBytes();
+        for (RaftMessage message : messages()) {
+            RaftEnvelope envelope = RaftMessageCodec.encode(STORAGE_ID, message);
+            bytes.add(envelope.getBodyCase().name(), envelope);
+        }
+        bytes.add("INSTALL_SNAPSHOT_CHUNK", RaftMessageCodec.encode(STORAGE_ID, CHUNK));
+        bytes.assertRecorded("raft-messages");
+    }
+
     /** The array of a chunk has no equality of content, unlike the components of other messages. */
     @Test
     void aSnapshotChunkIsDecodedAsItWasEncoded() throws Exception {
