--- a/src/main/java/sedgeyoke/simulator/BatchReader.java
+++ b/src/main/java/sedgeyoke/simulator/BatchReader.java
@@ -58,16 +58,20 @@
             throw new InvalidInputException(
                     "not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
+        requireFields(clockSeconds, eventsSeen);
+        if (eventsPending) {
+            dispatchSkipped(line, length, WireTime.micros(clockSeconds));
+        }
+        return replies.end();
+    }
+
+    private static void requireFields(double clockSeconds, boolean eventsSeen) throws InvalidInputException {
         if (Double.isNaN(clockSeconds)) {
             throw new InvalidInputException("no clock (" + CLOCK + ")");
         }
         if (!eventsSeen) {
             throw new InvalidInputException("no array of events (" + EVENTS + ")");
         }
-        if (eventsPending) {
-            dispatchSkipped(line, length, WireTime.micros(clockSeconds));
-        }
-        return replies.end();
     }
 
     /** Dispatches the events of a line in which they came before the clock, now that it is known. */
--- a/src/main/java/sedgeyoke/simulator/SettingsReader.java
+++ b/src/main/java/sedgeyoke/simulator/SettingsReader.java
@@ -94,31 +94,14 @@
     /** Reads the object that the parser has just entered. */
     public static InstanceSettings read(JsonParser json) throws InvalidInputException, IOException {
         Node root = readNode(json);
-        List<RequestClass> classes = new ArrayList<>();
-        for (Node requestClass : root.list("classes")) {
-            classes.add(new RequestClass(
-                    requestClass.time("aim-s"),
-                    requestClass.number("aim-stretch", 0),
-                    requestClass.time("give-up-s"),
-                    requestClass.number("worth", 1),
-                    requestClass.number("late-worth", 0),
-                    requestClass.choice("repeat", EFFECTS, Effect.UNSAFE),
-                    requestClass.choice("dedup-scope", SCOPES, Scope.CELL),
-                    requestClass.time("memory-span-s"),
-                    requestClass.flag("stream")));
-        }
-        List<Tenant> tenants = new ArrayList<>();
-        for (Node tenant : root.list("parties")) {
-            tenants.add(new Tenant(tenant.number("allowance-per-s", 0), tenant.number("share", 0)));
-        }
         Node report = root.object("report");
         Settings settings = new Settings(
                 (int) root.number("az", 0),
                 Math.max(1, root.list("localities").size()),
                 (int) root.number("position", 0),
                 (int) root.number("group-size", 1),
-                classes,
-                tenants,
+                classes(root.list("classes")),
+                tenants(root.list("parties")),
                 root.number("over-share-worth", 1),
                 "work".equals(root.texts.get("counted-by")),
                 limits(root.object("ceilings")),
@@ -138,6 +121,31 @@
                 texts(root, "kinds", ""));
     }
 
+    private static List<RequestClass> classes(List<Node> nodes) throws InvalidInputException {
+        List<RequestClass> classes = new ArrayList<>();
+        for (Node requestClass : nodes) {
+            classes.add(new RequestClass(
+                    requestClass.time("aim-s"),
+                    requestClass.number("aim-stretch", 0),
+                    requestClass.time("give-up-s"),
+                    requestClass.number("worth", 1),
+                    requestClass.number("late-worth", 0),
+                    requestClass.choice("repeat", EFFECTS, Effect.UNSAFE),
+                    requestClass.choice("dedup-scope", SCOPES, Scope.CELL),
+                    requestClass.time("memory-span-s"),
+                    requestClass.flag("stream")));
+        }
+        return classes;
+    }
+
+    private static List<Tenant> tenants(List<Node> nodes) {
+        List<Tenant> tenants = new ArrayList<>();
+        for (Node tenant : nodes) {
+            tenants.add(new Tenant(tenant.number("allowance-per-s", 0), tenant.number("share", 0)));
+        }
+        return tenants;
+    }
+
     private static List<String> texts(Node node, String list, String field) {
         return node.list(list).stream()
                 .map(element -> element.texts.getOrDefault(field, ""))
