--- /dev/null
+++ b/src/main/java/sedgeyoke/drill/soak/NodeRestart.java
@@ -0,0 +1,34 @@
+package sedgeyoke.drill.soak;
+
+import java.util.Optional;
+import sedgeyoke.standin.OrderNode;
+import sedgeyoke.standin.Site;
+
+/** A node stops responding without notice, and then restarts cold. */
+final class NodeRestart implements Fault {
+    /** A node that restarted gets no further fault for this long, so that balancers meet it in slow start. */
+    static final long SLOW_START_MILLIS = 2_000;
+
+    private static final long MAX_UNRESPONSIVE_MILLIS = 600;
+
+    private final FaultContext context;
+
+    NodeRestart(FaultContext context) {
+        this.context = context;
+    }
+
+    @Override
+    public void inject() {
+        Optional<OrderNode> reserved = context.reserveNode();
+        if (reserved.isEmpty()) {
+            return;
+        }
+        OrderNode node = reserved.get();
+        String id = node.spec().id();
+        long unresponsiveMillis = context.random().nextLong(MAX_UNRESPONSIVE_MILLIS);
+        context.site().injectFault(id, Site.Fault.UNRESPONSIVE);
+        context.events().add("RESTART", id + " after " + unresponsiveMillis + " ms of silence");
+        context.scheduler().schedule(unresponsiveMillis, () -> context.site().injectFault(id, Site.Fault.RESTART));
+        context.scheduler().schedule(unresponsiveMillis + SLOW_START_MILLIS, () -> context.releaseNode(node));
+    }
+}
