--- a/src/main/java/sedgeyoke/consensus/ClientRequests.java
+++ b/src/main/java/sedgeyoke/consensus/ClientRequests.java
@@ -58,7 +58,7 @@
         } else if (forwarded.size() >= MAX_WAITING) {
             outbox.respond(token, state.result(RequestResult.Kind.BUSY, TOO_MANY));
         } else {
-            forwarded.put(token, state.now + FORWARD_TIMEOUT_MICROS);
+            forwarded.put(token, state.nowMicros + FORWARD_TIMEOUT_MICROS);
             outbox.send(state.leader, new RaftMessage.ForwardedRequest(state.term, token, request));
         }
     }
@@ -81,7 +81,7 @@
     /** Ends forwarded requests whose response has not come in time; the leader may still carry them out. */
     void expireForwarded() {
         forwarded.entrySet().removeIf(request -> {
-            boolean expired = state.now >= request.getValue();
+            boolean expired = state.nowMicros >= request.getValue();
             if (expired) {
                 outbox.respond(
                         request.getKey(), state.result(RequestResult.Kind.UNKNOWN, "the leader has not responded"));
--- a/src/main/java/sedgeyoke/consensus/ConfigLeases.java
+++ b/src/main/java/sedgeyoke/consensus/ConfigLeases.java
@@ -29,7 +29,7 @@
 
     /** This replica has become the leader. */
     void start() {
-        table = new LeaseTable(state.rules, state.now);
+        table = new LeaseTable(state.rules, state.nowMicros);
     }
 
     /** This replica has ceased to be the leader. */
@@ -39,19 +39,19 @@
 
     /** How many balancers hold a lease as far as this replica, as the leader, knows; 0 at other replicas. */
     int holderCount() {
-        return table == null ? 0 : table.holderCount(state.now);
+        return table == null ? 0 : table.holderCount(state.nowMicros);
     }
 
     /** The oldest schema version that a lease holder knows. Only the leader can tell. */
     int oldestSchemaVersion() {
-        return table.oldestSchemaVersion(state.now);
+        return table.oldestSchemaVersion(state.nowMicros);
     }
 
     /** Balancers that are connected to this replica request leases. */
     void request(List<LeaseRequest> requests) {
         if (state.isLeader()) {
-            long requestedAt = state.now;
-            confirmation.whenConfirmed(() -> send(grant(requests, requestedAt)), () -> {});
+            long requestedAtMicros = state.nowMicros;
+            confirmation.whenConfirmed(() -> send(grant(requests, requestedAtMicros)), () -> {});
         } else if (state.leader != null) {
             outbox.send(state.leader, new RaftMessage.LeaseRequests(state.term, 0, List.copyOf(requests)));
         }
@@ -61,7 +61,7 @@
         if (!state.isLeader()) {
             return;
         }
-        long requestedAt = state.now;
+        long requestedAtMicros = state.nowMicros;
         confirmation.whenConfirmed(
                 () -> outbox.send(
                         from,
@@ -69,7 +69,7 @@
                                 state.term,
                                 message.number(),
                                 state.commitIndex,
-                                grant(message.requests(), requestedAt))),
+                                grant(message.requests(), requestedAtMicros))),
                 () -> {});
     }
 
@@ -79,13 +79,13 @@
         }
     }
 
-    private List<LeaseResponse> grant(List<LeaseRequest> requests, long requestedAt) {
+    private List<LeaseResponse> grant(List<LeaseRequest> requests, long requestedAtMicros) {
         if (!replication.hasCommittedInTerm() || state.lastApplied < state.commitIndex) {
             return List.of(); // an earlier leader may have committed a version that is not applied here yet
         }
         return requests.stream()
-                .map(request ->
-                        table.grant(request, requestedAt, state.stateMachine.active(), state.stateMachine.pending()))
+                .map(request -> table.grant(
+                        request, requestedAtMicros, state.stateMachine.active(), state.stateMachine.pending()))
                 .toList();
     }
 
@@ -109,7 +109,7 @@
         ConfigVersion pending = state.stateMachine.pending();
         if (replication.hasCommittedInTerm()
                 && pending != null
-                && table.allHoldersCover(pending.number(), state.now)
+                && table.allHoldersCover(pending.number(), state.nowMicros)
                 && !state.log.containsActivation(pending.number(), state.commitIndex)) {
             replication.append(new Command.Activate(pending.number()));
         }
--- a/src/main/java/sedgeyoke/consensus/ConfigSubscriber.java
+++ b/src/main/java/sedgeyoke/consensus/ConfigSubscriber.java
@@ -45,9 +45,9 @@
         this.active = last;
     }
 
-    /** The lease request to send at {@code now} microseconds. */
-    public LeaseRequest leaseRequest(long now) {
-        return new LeaseRequest(name, incarnation, now, newestVersion(), ConfigSchema.VERSION);
+    /** The lease request to send at {@code nowMicros}. */
+    public LeaseRequest leaseRequest(long nowMicros) {
+        return new LeaseRequest(name, incarnation, nowMicros, newestVersion(), ConfigSchema.VERSION);
     }
 
     /** The newest version that the balancer has. */
@@ -58,13 +58,13 @@
     /**
      * Handles a lease response.
      *
-     * @param now in microseconds
+     * @param nowMicros the time by this process's clock
      * @param receivedActive the active version that came with the response; null if the balancer had it
      * @param receivedPending the pending version that came with the response; null if the balancer had it
      * @return whether to request again at once, since the balancer has a newer version than it had requested with
      */
     public boolean handle(
-            long now, LeaseResponse response, ConfigVersion receivedActive, ConfigVersion receivedPending) {
+            long nowMicros, LeaseResponse response, ConfigVersion receivedActive, ConfigVersion receivedPending) {
         if (!isForThisProcess(response) || rules.isStale(response.activeVersion(), active.number())) {
             return false;
         }
@@ -82,7 +82,8 @@
             pending = null; // a newer pending version stays: the response may have been sent before it was created
         }
         if (response.granted()) {
-            leaseUntilMicros = Math.max(leaseUntilMicros, rules.leaseUsableUntil(response.sentAtMicros(), now));
+            leaseUntilMicros =
+                    Math.max(leaseUntilMicros, rules.leaseUsableUntilMicros(response.sentAtMicros(), nowMicros));
         }
         return newestVersion() > newestBefore;
     }
@@ -100,11 +101,11 @@
         return received != null && received.number() == number ? received : null;
     }
 
-    /** The config to act on at {@code now} microseconds. */
-    public EffectiveConfig effectiveConfig(long now) {
+    /** The config to act on at {@code nowMicros}. */
+    public EffectiveConfig effectiveConfig(long nowMicros) {
         ConfigDocument merged =
                 pending == null ? active.content() : rules.duringActivation(active.content(), pending.content());
-        boolean leased = now < leaseUntilMicros;
+        boolean leased = nowMicros < leaseUntilMicros;
         return new EffectiveConfig(
                 leased ? Mode.LEASED : Mode.WITHOUT_LEASE,
                 active.number(),
--- a/src/main/java/sedgeyoke/consensus/Election.java
+++ b/src/main/java/sedgeyoke/consensus/Election.java
@@ -19,8 +19,8 @@
     /** Who has granted its pre-vote or vote, and whether it is recovered. */
     private final Map<String, Boolean> votes = new HashMap<>();
 
-    private long startedAt;
-    private long timeoutAt;
+    private long startedAtMicros;
+    private long timeoutAtMicros;
 
     Election(ReplicaState state, PersistenceQueue persistence, RoleTransitions roles, SplittableRandom random) {
         this.state = state;
@@ -32,11 +32,11 @@
     /** Restarts the election timeout, which is drawn between its minimum and twice that. */
     void restartTimeout() {
         long minimum = state.timing.electionTimeoutMicros();
-        timeoutAt = state.now + minimum + random.nextLong(minimum);
+        timeoutAtMicros = state.nowMicros + minimum + random.nextLong(minimum);
     }
 
     boolean isTimedOut() {
-        return state.now >= timeoutAt;
+        return state.nowMicros >= timeoutAtMicros;
     }
 
     /** Asks the others whether they would vote for this replica; if enough would, it starts an election. */
@@ -56,7 +56,7 @@
         state.term++;
         state.votedFor = state.name;
         persistence.hardStateChanged();
-        startedAt = state.now;
+        startedAtMicros = state.nowMicros;
         restartTimeout();
         startCounting();
         RaftMessage request = new RaftMessage.RequestVote(
@@ -80,7 +80,7 @@
     }
 
     private boolean areVotesValid() {
-        return state.rules.votesAreValid(state.now, startedAt);
+        return state.rules.votesAreValid(state.nowMicros, startedAtMicros);
     }
 
     private boolean hasWon() {
@@ -149,6 +149,6 @@
 
     /** The votes and whether they may still count, for {@link RaftNode#describe()}. */
     String describe() {
-        return (state.now <= startedAt + state.timing.electionTimeoutMicros()) + " " + new TreeMap<>(votes);
+        return (state.nowMicros <= startedAtMicros + state.timing.electionTimeoutMicros()) + " " + new TreeMap<>(votes);
     }
 }
--- a/src/main/java/sedgeyoke/consensus/LeaseTable.java
+++ b/src/main/java/sedgeyoke/consensus/LeaseTable.java
@@ -13,14 +13,14 @@
 
     private final SafetyRules rules;
     private final Map<Holder, Lease> leases = new HashMap<>();
-    private final long earlierLeasesEndAt;
+    private final long earlierLeasesEndAtMicros;
 
     /** One process of a balancer. */
     private record Holder(String balancer, long incarnation) {}
 
     private record Lease(long heldVersion, long untilMicros, int schemaVersion) {
-        boolean isExpired(long now) {
-            return untilMicros <= now;
+        boolean isExpired(long nowMicros) {
+            return untilMicros <= nowMicros;
         }
 
         /** This lease, or the earlier one of the same holder where that covers more: requests may be reordered. */
@@ -32,27 +32,29 @@
         }
     }
 
-    /** The table of a leader that was elected at {@code now} microseconds. */
-    LeaseTable(SafetyRules rules, long now) {
+    /** The table of a leader that was elected at {@code nowMicros}. */
+    LeaseTable(SafetyRules rules, long nowMicros) {
         this.rules = rules;
-        this.earlierLeasesEndAt = rules.earlierLeasesEnd(now);
+        this.earlierLeasesEndAtMicros = rules.earlierLeasesEndMicros(nowMicros);
     }
 
     /**
-     * Grants a lease if the request permits it. This replica must have been confirmed as the leader after
-     * {@code requestedAt}, the time in microseconds at which the request arrived. At the balancer the lease counts from
-     * when the request was sent, which is earlier.
+     * Grants a lease if the request permits it. This replica must have been confirmed as the leader after the request
+     * arrived. At the balancer the lease counts from when the request was sent, which is earlier.
+     *
+     * @param requestedAtMicros when the request arrived
      */
-    LeaseResponse grant(LeaseRequest request, long requestedAt, ConfigVersion active, ConfigVersion pending) {
+    LeaseResponse grant(LeaseRequest request, long requestedAtMicros, ConfigVersion active, ConfigVersion pending) {
         long pendingVersion = pending == null ? 0 : pending.number();
         Holder holder = new Holder(request.balancer(), request.incarnation());
         if (leases.size() >= MAX_HOLDERS) {
-            removeExpired(requestedAt);
+            removeExpired(requestedAtMicros);
         }
         boolean granted = rules.coversVersion(request.heldVersion(), Math.max(pendingVersion, active.number()))
                 && (leases.size() < MAX_HOLDERS || leases.containsKey(holder));
         if (granted) {
-            Lease lease = new Lease(request.heldVersion(), rules.leaseHeldUntil(requestedAt), request.schemaVersion());
+            Lease lease = new Lease(
+                    request.heldVersion(), rules.leaseHeldUntilMicros(requestedAtMicros), request.schemaVersion());
             leases.merge(holder, lease, (earlier, later) -> later.extending(earlier));
         }
         return new LeaseResponse(
@@ -64,29 +66,30 @@
                 granted);
     }
 
-    private void removeExpired(long now) {
-        leases.values().removeIf(lease -> lease.isExpired(now));
+    private void removeExpired(long nowMicros) {
+        leases.values().removeIf(lease -> lease.isExpired(nowMicros));
     }
 
     /** Whether no balancer acts on an earlier version without knowing this one. */
-    boolean allHoldersCover(long version, long now) {
-        removeExpired(now);
-        return now >= earlierLeasesEndAt
+    boolean allHoldersCover(long version, long nowMicros) {
+        removeExpired(nowMicros);
+        return nowMicros >= earlierLeasesEndAtMicros
                 && leases.values().stream().allMatch(lease -> rules.coversVersion(lease.heldVersion(), version));
     }
 
     /** The oldest schema version that a holder supports. */
-    int oldestSchemaVersion(long now) {
+    int oldestSchemaVersion(long nowMicros) {
         return leases.values().stream()
-                .filter(lease -> !lease.isExpired(now))
+                .filter(lease -> !lease.isExpired(nowMicros))
                 .mapToInt(Lease::schemaVersion)
                 .min()
                 .orElse(ConfigSchema.VERSION);
     }
 
     /** How many balancers hold a lease. */
-    int holderCount(long now) {
-        return (int)
-                leases.values().stream().filter(lease -> !lease.isExpired(now)).count();
+    int holderCount(long nowMicros) {
+        return (int) leases.values().stream()
+                .filter(lease -> !lease.isExpired(nowMicros))
+                .count();
     }
 }
--- a/src/main/java/sedgeyoke/consensus/LogReplication.java
+++ b/src/main/java/sedgeyoke/consensus/LogReplication.java
@@ -40,7 +40,7 @@
     /** This replica has become the leader. Its first entry is a no-op, which commits what earlier terms left. */
     void start() {
         round = 0;
-        roundStartedAt = state.now - state.timing.heartbeatMicros();
+        roundStartedAt = state.nowMicros - state.timing.heartbeatMicros();
         firstIndexOfTerm = state.log.lastIndex() + 1;
         peers.clear();
         addPeers();
@@ -85,7 +85,7 @@
             HardState.KnownPeer known = state.knownPeers.get(peer);
             long incarnation = known == null ? 0 : known.incarnation();
             peers.computeIfAbsent(
-                    peer, added -> new ReplicationProgress(state.log.lastIndex() + 1, incarnation, state.now));
+                    peer, added -> new ReplicationProgress(state.log.lastIndex() + 1, incarnation, state.nowMicros));
         }
     }
 
@@ -103,17 +103,17 @@
             outbox.log("steps down: a write to disk has taken longer than "
                     + state.timing.electionTimeoutMicros() / RaftTiming.MICROS_PER_MILLI + " ms");
             roles.becomeFollower(state.term, null);
-        } else if (state.now - roundStartedAt >= state.timing.heartbeatMicros()) {
+        } else if (state.nowMicros - roundStartedAt >= state.timing.heartbeatMicros()) {
             startRound();
         }
     }
 
     /** How many voters responded within two election timeouts, this one included (Raft thesis, section 6.2). */
     private long reachableVoters() {
-        long since = state.now - 2 * state.timing.electionTimeoutMicros();
+        long since = state.nowMicros - 2 * state.timing.electionTimeoutMicros();
         long others = peers.entrySet().stream()
-                .filter(peer ->
-                        state.membership.voters().containsKey(peer.getKey()) && peer.getValue().lastContactAt > since)
+                .filter(peer -> state.membership.voters().containsKey(peer.getKey())
+                        && peer.getValue().lastContactAtMicros > since)
                 .count();
         return others + (state.isVoter() ? 1 : 0);
     }
@@ -121,15 +121,15 @@
     /** Starts a heartbeat round: sends a message to every other replica, with entries unless some are in flight. */
     void startRound() {
         round++;
-        roundStartedAt = state.now;
+        roundStartedAt = state.nowMicros;
         peers.forEach((peer, progress) ->
-                sendEntries(peer, progress, progress.isInFlight(state.now) ? 0 : MAX_ENTRIES_PER_MESSAGE));
+                sendEntries(peer, progress, progress.isInFlight(state.nowMicros) ? 0 : MAX_ENTRIES_PER_MESSAGE));
     }
 
     /** Sends entries to every replica that lacks some and has none in flight. */
     void sendPendingEntries() {
         peers.forEach((peer, progress) -> {
-            if (!progress.isInFlight(state.now)
+            if (!progress.isInFlight(state.nowMicros)
                     && progress.nextIndex <= state.log.lastIndex()
                     && !needsSnapshot(progress)) {
                 sendEntries(peer, progress, MAX_ENTRIES_PER_MESSAGE);
@@ -146,7 +146,7 @@
         List<LogEntry> entries =
                 needsSnapshot(progress) ? List.of() : state.log.entriesFrom(progress.nextIndex, maxEntries);
         if (!entries.isEmpty()) {
-            progress.inFlightUntil = state.now + state.timing.electionTimeoutMicros() / 2;
+            progress.inFlightUntilMicros = state.nowMicros + state.timing.electionTimeoutMicros() / 2;
         }
         outbox.send(
                 to,
@@ -167,18 +167,18 @@
         } else if (!state.rules.isSameIncarnation(progress.incarnation, response.incarnation())) {
             return; // what an earlier incarnation acknowledged may be lost
         }
-        progress.lastContactAt = state.now;
+        progress.lastContactAtMicros = state.nowMicros;
         progress.recovered = state.rules.countsTowardsQuorum(response.recovered());
         if (progress.recovered) {
             progress.confirmedRound = Math.max(progress.confirmedRound, response.round());
         }
         if (response.success()) {
-            progress.inFlightUntil = state.now;
+            progress.inFlightUntilMicros = state.nowMicros;
             progress.matchIndex = Math.max(progress.matchIndex, response.matchIndex());
             progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
         } else if (progress.nextIndex - 1 > response.matchIndex()) {
             progress.nextIndex = Math.max(1, response.matchIndex() + 1);
-            progress.inFlightUntil = state.now;
+            progress.inFlightUntilMicros = state.nowMicros;
             if (needsSnapshot(progress)) {
                 snapshots.sendChunk(from, progress, round);
             }
@@ -190,8 +190,8 @@
         if (progress == null || ack.lastIncludedIndex() != progress.snapshotIndex) {
             return;
         }
-        progress.lastContactAt = state.now;
-        progress.inFlightUntil = state.now;
+        progress.lastContactAtMicros = state.nowMicros;
+        progress.inFlightUntilMicros = state.nowMicros;
         if (!snapshots.acknowledge(progress, ack) && needsSnapshot(progress)) {
             snapshots.sendChunk(from, progress, round);
         }
@@ -206,7 +206,7 @@
     void peerRestarted(String peer, long incarnation) {
         ReplicationProgress progress = peers.get(peer);
         if (progress != null && progress.incarnation != incarnation) {
-            progress.restarted(incarnation, state.log.lastIndex() + 1, state.now);
+            progress.restarted(incarnation, state.log.lastIndex() + 1, state.nowMicros);
         }
     }
 
@@ -263,7 +263,7 @@
                 .append(progress.recovered)
                 .append(',')
                 .append(progress.confirmedRound)
-                .append(!progress.isInFlight(state.now)));
+                .append(!progress.isInFlight(state.nowMicros)));
         return text.toString();
     }
 }
--- a/src/main/java/sedgeyoke/consensus/PersistenceQueue.java
+++ b/src/main/java/sedgeyoke/consensus/PersistenceQueue.java
@@ -32,9 +32,9 @@
     private long durableIndex;
 
     /** A write in progress; once it is done, the log up to {@code lastIndex} is on disk. */
-    private record Write(long startedAt, long lastIndex) {
+    private record Write(long startedAtMicros, long lastIndex) {
         Write truncatedAfter(long index) {
-            return new Write(startedAt, Math.min(lastIndex, index));
+            return new Write(startedAtMicros, Math.min(lastIndex, index));
         }
     }
 
@@ -103,7 +103,8 @@
     /** Whether a write has been in progress for longer than an election timeout. */
     boolean isStalled() {
         return !writes.isEmpty()
-                && state.now - writes.firstEntry().getValue().startedAt() > state.timing.electionTimeoutMicros();
+                && state.nowMicros - writes.firstEntry().getValue().startedAtMicros()
+                        > state.timing.electionTimeoutMicros();
     }
 
     /** Ends the current event: starts the write that it made necessary, and sends or holds back its messages. */
@@ -140,7 +141,7 @@
                 restartLogAfter,
                 truncateAfter,
                 List.copyOf(appended)));
-        writes.put(lastToken, new Write(state.now, state.log.lastIndex()));
+        writes.put(lastToken, new Write(state.nowMicros, state.log.lastIndex()));
         if (hardStateChanged) {
             lastHardStateToken = lastToken;
         }
--- a/src/main/java/sedgeyoke/consensus/RaftNode.java
+++ b/src/main/java/sedgeyoke/consensus/RaftNode.java
@@ -211,7 +211,7 @@
      * @return what has to be done, in order
      */
     public List<Action> handle(Event event, long nowMicros) {
-        state.now = Math.max(state.now, nowMicros);
+        state.nowMicros = Math.max(state.nowMicros, nowMicros);
         event.deliver(eventDispatch);
         advance();
         return outbox.take();
@@ -349,7 +349,7 @@
             if (state.role != Role.FOLLOWER || !leader.equals(state.leader)) {
                 RaftNode.this.becomeFollower(state.term, leader);
             }
-            state.lastLeaderContactAt = state.now;
+            state.lastLeaderContactAtMicros = state.nowMicros;
             election.restartTimeout();
         }
     }
--- a/src/main/java/sedgeyoke/consensus/RaftTiming.java
+++ b/src/main/java/sedgeyoke/consensus/RaftTiming.java
@@ -59,13 +59,13 @@
      * so.
      */
     public long contradictionBoundMicros() {
-        return drift.upperBound(leaseMicros);
+        return drift.upperBoundMicros(leaseMicros);
     }
 
     /**
      * How long it takes at most until a committed version is active at all balancers, if the leader does not change.
      */
     public long activationBoundMicros() {
-        return 2 * drift.upperBound(leaseMicros) + 4 * heartbeatMicros;
+        return 2 * drift.upperBoundMicros(leaseMicros) + 4 * heartbeatMicros;
     }
 }
--- a/src/main/java/sedgeyoke/consensus/RecoveryQueries.java
+++ b/src/main/java/sedgeyoke/consensus/RecoveryQueries.java
@@ -15,9 +15,9 @@
     private final ReplicaRecovery recovery;
 
     /** When this replica last announced its incarnation to the leader. */
-    private long announcedAt;
+    private long announcedAtMicros;
     /** When it last logged that it takes part in no decision; 0 if never. */
-    private long warnedAt;
+    private long warnedAtMicros;
 
     RecoveryQueries(ReplicaState state, Outbox outbox, PersistenceQueue persistence, RoleTransitions roles) {
         this.state = state;
@@ -29,10 +29,11 @@
 
     /** Sends queries that are due. */
     void tick() {
-        if (!recovery.isRecovered() && recovery.isQueryDue(state.now)) {
+        if (!recovery.isRecovered() && recovery.isQueryDue(state.nowMicros)) {
             queryAll();
         } else if (state.leader != null && !state.leader.equals(state.name) && isAnnouncementDue()) {
-            announcedAt = state.now; // the leader has to know the present incarnation, whatever it knew before
+            announcedAtMicros =
+                    state.nowMicros; // the leader has to know the present incarnation, whatever it knew before
             persistence.sendWhenPersisted(state.leader, query());
         }
     }
@@ -40,7 +41,7 @@
     private boolean isAnnouncementDue() {
         boolean leaderReplied = recovery.requiredMatchIndex(state.leader, state.term) >= 0;
         long interval = leaderReplied ? state.timing.electionTimeoutMicros() : state.timing.heartbeatMicros();
-        return state.now - announcedAt >= 2 * interval;
+        return state.nowMicros - announcedAtMicros >= 2 * interval;
     }
 
     private void queryAll() {
@@ -63,7 +64,7 @@
     }
 
     void handle(String from, RaftMessage.NotAMember notice) {
-        if (!state.isLeader() && isWarningDue() || warnedAt == 0) {
+        if (!state.isLeader() && isWarningDue() || warnedAtMicros == 0) {
             recordWarning();
             outbox.log(from + " reports that this replica " + notice.reason()
                     + "; it takes part in no decision until it is added ('keepers add')");
@@ -72,7 +73,7 @@
 
     /** Logs from time to time that this replica takes part in no decision, and what it waits for. */
     void warnNotRecovered() {
-        if (isWarningDue() || warnedAt == 0) {
+        if (isWarningDue() || warnedAtMicros == 0) {
             recordWarning();
             String reason =
                     recovery.suspectedLoss() == null ? "too few replicas have replied yet" : recovery.suspectedLoss();
@@ -83,11 +84,11 @@
     }
 
     private boolean isWarningDue() {
-        return state.now - warnedAt > WARNING_INTERVAL_MICROS;
+        return state.nowMicros - warnedAtMicros > WARNING_INTERVAL_MICROS;
     }
 
     private void recordWarning() {
-        warnedAt = Math.max(1, state.now);
+        warnedAtMicros = Math.max(1, state.nowMicros);
     }
 
     /** Advances recovery by what has become known. */
--- a/src/main/java/sedgeyoke/consensus/ReplicaRecovery.java
+++ b/src/main/java/sedgeyoke/consensus/ReplicaRecovery.java
@@ -18,7 +18,7 @@
     private static final int QUERY_ID_BITS = 16;
 
     private final SafetyRules rules;
-    private final long startedAt;
+    private final long startedAtMicros;
     /** The latest replies to the current query, by replica. */
     private final Map<String, RaftMessage.RecoveryReply> replies = new HashMap<>();
 
@@ -27,7 +27,7 @@
     private String suspectedLoss;
     private boolean dataLost;
     private long queryId;
-    private long queriedAt;
+    private long queriedAtMicros;
 
     /** The steps of recovery, in order. */
     private enum RecoveryState {
@@ -49,16 +49,16 @@
      * @param incarnation of this replica, drawn at its start
      * @param suspectedLoss why the disk may not have all that was written; null if it seems intact
      * @param dataLost whether something is certainly lost
-     * @param now in microseconds
+     * @param nowMicros the time by this process's clock
      */
-    ReplicaRecovery(SafetyRules rules, long incarnation, String suspectedLoss, boolean dataLost, long now) {
+    ReplicaRecovery(SafetyRules rules, long incarnation, String suspectedLoss, boolean dataLost, long nowMicros) {
         this.rules = rules;
         this.queryId = incarnation << QUERY_ID_BITS;
-        this.startedAt = now;
+        this.startedAtMicros = nowMicros;
         this.suspectedLoss = suspectedLoss;
         this.dataLost = dataLost;
         this.recoveryState = suspectedLoss == null ? RecoveryState.VERIFYING : RecoveryState.WAITING;
-        makeQueryDue(now);
+        makeQueryDue(nowMicros);
     }
 
     /** Whether nothing that this replica ever acknowledged is missing. */
@@ -108,15 +108,15 @@
     }
 
     /** Whether the others have to be queried now; takes it that they then are. */
-    boolean isQueryDue(long now) {
-        if (recoveryState == RecoveryState.WAITING && now - startedAt >= rules.recoveryWaitMicros()) {
+    boolean isQueryDue(long nowMicros) {
+        if (recoveryState == RecoveryState.WAITING && nowMicros - startedAtMicros >= rules.recoveryWaitMicros()) {
             recoveryState = RecoveryState.QUERYING;
             startNewQuery(); // earlier replies do not cover votes that were still counted then
-            makeQueryDue(now);
+            makeQueryDue(nowMicros);
         }
-        boolean due = now - queriedAt >= 2 * rules.timing().heartbeatMicros();
+        boolean due = nowMicros - queriedAtMicros >= 2 * rules.timing().heartbeatMicros();
         if (due) {
-            queriedAt = now;
+            queriedAtMicros = nowMicros;
         }
         return due;
     }
@@ -126,8 +126,8 @@
         replies.clear();
     }
 
-    private void makeQueryDue(long now) {
-        queriedAt = now - rules.timing().electionTimeoutMicros();
+    private void makeQueryDue(long nowMicros) {
+        queriedAtMicros = nowMicros - rules.timing().electionTimeoutMicros();
     }
 
     /** The id of the query whose replies are awaited. */
--- a/src/main/java/sedgeyoke/consensus/ReplicaState.java
+++ b/src/main/java/sedgeyoke/consensus/ReplicaState.java
@@ -30,7 +30,7 @@
     /** The latest membership in the log, committed or not (Raft thesis, section 4.1). */
     Membership membership;
 
-    long now;
+    long nowMicros;
     RaftNode.Role role = RaftNode.Role.FOLLOWER;
     long term;
     /** Whom this replica voted for in {@link #term}; see {@link HardState#votedFor()}. */
@@ -40,7 +40,7 @@
 
     long commitIndex;
     long lastApplied;
-    long lastLeaderContactAt;
+    long lastLeaderContactAtMicros;
     /** Up to where the log is that of the current leader, or {@link #UNKNOWN_INDEX}. */
     long leaderMatchIndex = UNKNOWN_INDEX;
 
@@ -49,12 +49,12 @@
             SafetyRules rules,
             RaftNode.StoredState stored,
             Membership initialMembership,
-            long now) {
+            long nowMicros) {
         this.name = identity.name();
         this.storageId = identity.storageId();
         this.rules = rules;
         this.timing = rules.timing();
-        this.now = now;
+        this.nowMicros = nowMicros;
         HardState hardState = stored.hardState();
         this.term = hardState.term();
         this.votedFor = hardState.votedFor();
@@ -69,9 +69,9 @@
                 : new ConfigStateMachine(snapshot.state(), rules);
         this.commitIndex = snapshotIndex();
         this.lastApplied = snapshotIndex();
-        this.recovery =
-                new ReplicaRecovery(rules, identity.incarnation(), stored.suspectedLoss(), stored.dataLost(), now);
-        this.lastLeaderContactAt = now - timing.electionTimeoutMicros();
+        this.recovery = new ReplicaRecovery(
+                rules, identity.incarnation(), stored.suspectedLoss(), stored.dataLost(), nowMicros);
+        this.lastLeaderContactAtMicros = nowMicros - timing.electionTimeoutMicros();
         updateMembership();
     }
 
@@ -127,7 +127,7 @@
 
     /** Whether no leader was heard from for at least an election timeout. */
     boolean hasLostLeader() {
-        return !isLeader() && now - lastLeaderContactAt >= timing.electionTimeoutMicros();
+        return !isLeader() && nowMicros - lastLeaderContactAtMicros >= timing.electionTimeoutMicros();
     }
 
     /** The last index that the snapshot covers; 0 without a snapshot. */
--- a/src/main/java/sedgeyoke/consensus/ReplicationProgress.java
+++ b/src/main/java/sedgeyoke/consensus/ReplicationProgress.java
@@ -10,34 +10,34 @@
     long incarnation;
     /** Whether the replica counts towards a quorum: it has lost nothing that it acknowledged. */
     boolean recovered;
-    /** When its latest response arrived, in microseconds. */
-    long lastContactAt;
+    /** When its latest response arrived. */
+    long lastContactAtMicros;
     /** The newest heartbeat round that it has echoed. */
     long confirmedRound;
-    /** Until then, in microseconds, entries are assumed to be in flight, and no more are sent. */
-    long inFlightUntil;
+    /** Until then entries are assumed to be in flight, and no more are sent. */
+    long inFlightUntilMicros;
     /** The last index that the snapshot in transfer covers. */
     long snapshotIndex;
     /** How many bytes of that snapshot the replica has. */
     long snapshotOffset;
 
-    ReplicationProgress(long nextIndex, long incarnation, long now) {
+    ReplicationProgress(long nextIndex, long incarnation, long nowMicros) {
         this.nextIndex = nextIndex;
         this.incarnation = incarnation;
-        this.lastContactAt = now;
+        this.lastContactAtMicros = nowMicros;
     }
 
     /** The replica has restarted: what an earlier incarnation acknowledged may be lost. */
-    void restarted(long newIncarnation, long newNextIndex, long now) {
+    void restarted(long newIncarnation, long newNextIndex, long nowMicros) {
         incarnation = newIncarnation;
         matchIndex = 0;
         nextIndex = newNextIndex;
         recovered = false;
         confirmedRound = 0;
-        inFlightUntil = now;
+        inFlightUntilMicros = nowMicros;
     }
 
-    boolean isInFlight(long now) {
-        return now < inFlightUntil;
+    boolean isInFlight(long nowMicros) {
+        return nowMicros < inFlightUntilMicros;
     }
 }
--- a/src/main/java/sedgeyoke/consensus/SafetyRules.java
+++ b/src/main/java/sedgeyoke/consensus/SafetyRules.java
@@ -61,13 +61,13 @@
     }
 
     /** Whether a candidate may still count votes. The bound lets a replica that may have lost a vote wait that long. */
-    boolean votesAreValid(long now, long electionStartedAt) {
-        return now <= electionStartedAt + timing.candidacyMicros();
+    boolean votesAreValid(long nowMicros, long electionStartedAtMicros) {
+        return nowMicros <= electionStartedAtMicros + timing.candidacyMicros();
     }
 
     /** How long a replica that may have lost a vote waits before it queries the others for their terms. */
     long recoveryWaitMicros() {
-        return timing.drift().upperBound(timing.drift().upperBound(2 * timing.candidacyMicros()));
+        return timing.drift().upperBoundMicros(timing.drift().upperBoundMicros(2 * timing.candidacyMicros()));
     }
 
     /** The vote of a replica that cannot know whom it voted for in its term. */
@@ -103,13 +103,13 @@
     }
 
     /** Until when the leader assumes that a lease is held, given when the request arrived. */
-    long leaseHeldUntil(long requestedAt) {
-        return requestedAt + timing.drift().upperBound(timing.leaseMicros());
+    long leaseHeldUntilMicros(long requestedAtMicros) {
+        return requestedAtMicros + timing.drift().upperBoundMicros(timing.leaseMicros());
     }
 
     /** Until when a new leader assumes that leases of earlier leaders are held. */
-    long earlierLeasesEnd(long leaderSince) {
-        return leaderSince + timing.drift().upperBound(timing.leaseMicros());
+    long earlierLeasesEndMicros(long leaderSinceMicros) {
+        return leaderSinceMicros + timing.drift().upperBoundMicros(timing.leaseMicros());
     }
 
     /** Whether a balancer may hold a lease, given the newest version that it has and the newest that there is. */
@@ -118,8 +118,8 @@
     }
 
     /** Until when a balancer uses a lease: counted from when it sent the request, not from the response. */
-    long leaseUsableUntil(long sentAt, long receivedAt) {
-        return sentAt + timing.drift().lowerBound(timing.leaseMicros());
+    long leaseUsableUntilMicros(long sentAtMicros, long receivedAtMicros) {
+        return sentAtMicros + timing.drift().lowerBoundMicros(timing.leaseMicros());
     }
 
     /** Whether a response is older than one that the balancer has acted on. */
--- a/src/main/java/sedgeyoke/consensus/SnapshotTransfer.java
+++ b/src/main/java/sedgeyoke/consensus/SnapshotTransfer.java
@@ -66,7 +66,7 @@
         }
         int from = (int) progress.snapshotOffset;
         byte[] chunk = Arrays.copyOfRange(outgoing, from, Math.min(from + CHUNK_BYTES, outgoing.length));
-        progress.inFlightUntil = state.now + state.timing.electionTimeoutMicros() / 2;
+        progress.inFlightUntilMicros = state.nowMicros + state.timing.electionTimeoutMicros() / 2;
         outbox.send(
                 to,
                 new RaftMessage.InstallSnapshotChunk(
--- a/src/main/java/sedgeyoke/consensus/server/ConfigClient.java
+++ b/src/main/java/sedgeyoke/consensus/server/ConfigClient.java
@@ -67,12 +67,12 @@
                 .setToken(TOKEN)
                 .setRequest(ClientCodec.encode(request))
                 .build();
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         boolean mayBeCommitted = false;
         ConfigResponse last = null;
-        while (System.nanoTime() < deadline) {
+        while (System.nanoTime() < deadlineNanos) {
             Optional<OperatorReplyMessage> reply = exchange(
-                            servers.get(nextServer), message, attemptTimeoutMillis(deadline))
+                            servers.get(nextServer), message, attemptTimeoutMillis(deadlineNanos))
                     .filter(OperatorReplyMessage::hasResult);
             if (reply.isPresent()) {
                 last = decode(reply.get());
@@ -119,8 +119,8 @@
             ConfigDocument content,
             long timeoutMillis)
             throws InterruptedException {
-        long now = System.currentTimeMillis();
-        Command.Write write = new Command.Write(requestId, parent.number(), author, reason, now, content);
+        long createdAtMillis = System.currentTimeMillis();
+        Command.Write write = new Command.Write(requestId, parent.number(), author, reason, createdAtMillis, content);
         return submit(new ClientRequest.Set(write), timeoutMillis);
     }
 
--- a/src/main/java/sedgeyoke/consensus/server/ConfigServer.java
+++ b/src/main/java/sedgeyoke/consensus/server/ConfigServer.java
@@ -98,9 +98,9 @@
     private void tick() {
         subscriptions.submitLeaseRequests();
         handle(new Event.Tick());
-        long now = context.clock().getAsLong();
-        if (now - lastHeartbeatMicros >= HEARTBEAT_MICROS) {
-            lastHeartbeatMicros = now;
+        long nowMicros = context.clock().getAsLong();
+        if (nowMicros - lastHeartbeatMicros >= HEARTBEAT_MICROS) {
+            lastHeartbeatMicros = nowMicros;
             peers.sendHeartbeats();
             incoming.sendHeartbeats();
         }
--- a/src/main/java/sedgeyoke/consensus/server/ConfigSubscription.java
+++ b/src/main/java/sedgeyoke/consensus/server/ConfigSubscription.java
@@ -90,13 +90,13 @@
     }
 
     private void check() {
-        long now = clock.getAsLong();
-        if (now >= nextRequestMicros) {
+        long nowMicros = clock.getAsLong();
+        if (nowMicros >= nextRequestMicros) {
             long jitterMicros = random.nextLong(Math.max(1, requestIntervalMicros / 4));
-            nextRequestMicros = now + requestIntervalMicros - requestIntervalMicros / 8 + jitterMicros;
+            nextRequestMicros = nowMicros + requestIntervalMicros - requestIntervalMicros / 8 + jitterMicros;
             requestLease();
         }
-        reportChange(now);
+        reportChange(nowMicros);
     }
 
     private void requestLease() {
@@ -121,8 +121,8 @@
         dialer.dial(settings.servers().get(serverIndex));
     }
 
-    private void reportChange(long now) {
-        ConfigSubscriber.EffectiveConfig current = subscriber.effectiveConfig(now);
+    private void reportChange(long nowMicros) {
+        ConfigSubscriber.EffectiveConfig current = subscriber.effectiveConfig(nowMicros);
         boolean unchanged = reported != null
                 && current.mode() == reported.mode()
                 && current.activeVersion() == reported.activeVersion()
@@ -140,16 +140,16 @@
 
     private void handle(LeaseReplyMessage reply) {
         unansweredRequests = 0;
-        long now = clock.getAsLong();
+        long nowMicros = clock.getAsLong();
         boolean requestAgain = subscriber.handle(
-                now,
+                nowMicros,
                 ClientCodec.decode(reply.getResponse()),
                 reply.hasActive() ? ConfigCodec.decode(reply.getActive()) : null,
                 reply.hasPending() ? ConfigCodec.decode(reply.getPending()) : null);
         if (requestAgain) {
-            nextRequestMicros = now;
+            nextRequestMicros = nowMicros;
         }
-        reportChange(now);
+        reportChange(nowMicros);
     }
 
     /** A connection to a config server. */
--- a/src/main/java/sedgeyoke/lease/ClockDrift.java
+++ b/src/main/java/sedgeyoke/lease/ClockDrift.java
@@ -24,13 +24,13 @@
         }
     }
 
-    /** The duration after which {@code duration} has passed on every clock, in the same unit. */
-    public long upperBound(long duration) {
-        return (long) Math.ceil(duration * (1 + ppm / PARTS_PER_MILLION));
+    /** The duration after which {@code durationMicros} has passed on every clock. */
+    public long upperBoundMicros(long durationMicros) {
+        return (long) Math.ceil(durationMicros * (1 + ppm / PARTS_PER_MILLION));
     }
 
-    /** The duration within which {@code duration} has passed on no clock, in the same unit. */
-    public long lowerBound(long duration) {
-        return (long) Math.floor(duration * (1 - ppm / PARTS_PER_MILLION));
+    /** The duration within which {@code durationMicros} has passed on no clock. */
+    public long lowerBoundMicros(long durationMicros) {
+        return (long) Math.floor(durationMicros * (1 - ppm / PARTS_PER_MILLION));
     }
 }
--- a/src/main/java/sedgeyoke/plan/PlanSubscriber.java
+++ b/src/main/java/sedgeyoke/plan/PlanSubscriber.java
@@ -209,7 +209,7 @@
         Map<String, UsableGrants> byUpstream = new HashMap<>();
         for (PlannerSelection.ReceivedPlan plan : planners.lastPlans()) {
             PlanMessage message = plan.message();
-            long untilMicros = leaseClock.grantUsableUntil(
+            long untilMicros = leaseClock.grantUsableUntilMicros(
                     message.echo().atMicros(), plan.receivedAtMicros(), message.grantDurationMicros());
             if (untilMicros > nowMicros) {
                 for (PlanMessage.Grant grant : message.grants()) {
--- a/src/main/java/sedgeyoke/plan/Planner.java
+++ b/src/main/java/sedgeyoke/plan/Planner.java
@@ -76,7 +76,7 @@
         quotaPool.replaceDeposits(
                 report.forwarder(),
                 isDelegatedToThisProcess(report) ? report.deposits() : List.of(),
-                leaseClock.depositCountsUntil(report.echo().atMicros(), nowMicros, report.leaseMicros()));
+                leaseClock.depositCountsUntilMicros(report.echo().atMicros(), nowMicros, report.leaseMicros()));
         return true;
     }
 
@@ -122,7 +122,7 @@
                 views,
                 spillover.sharesFrom(report.zone()),
                 spillover.limitShares(report.zone(), forwarder.demand()),
-                leaseClock.grantDuration(report.leaseMicros()),
+                leaseClock.grantDurationMicros(report.leaseMicros()),
                 grants);
     }
 
--- a/src/main/java/sedgeyoke/plan/QuotaDelegation.java
+++ b/src/main/java/sedgeyoke/plan/QuotaDelegation.java
@@ -21,7 +21,7 @@
     QuotaDelegation(LeaseClock leaseClock, long leaseMicros, long startedAtMicros) {
         this.leaseClock = leaseClock;
         this.leaseMicros = leaseMicros;
-        this.ownQuotaBlockedUntilMicros = leaseClock.startupQuietUntil(startedAtMicros, leaseMicros);
+        this.ownQuotaBlockedUntilMicros = leaseClock.ownQuotaBlockedUntilMicros(startedAtMicros, leaseMicros);
     }
 
     /** Until when no own quota is used, as an earlier incarnation may have delegated it. */
@@ -39,7 +39,7 @@
         if (!mayDelegate(nowMicros) || !available) {
             return false;
         }
-        long expiresAtMicros = leaseClock.reservedUntil(nowMicros, leaseMicros);
+        long expiresAtMicros = leaseClock.reservedUntilMicros(nowMicros, leaseMicros);
         byUpstream.put(upstream, new Delegation(to.planner(), to.incarnation(), expiresAtMicros));
         return true;
     }
--- a/src/main/java/sedgeyoke/plan/SlowStartQuotaPool.java
+++ b/src/main/java/sedgeyoke/plan/SlowStartQuotaPool.java
@@ -101,14 +101,14 @@
         List<GrantCandidate> candidates = new ArrayList<>();
         for (ReportingForwarder forwarder : forwarders) {
             ForwarderReport report = forwarder.lastReport();
-            long durationMicros = leaseClock.grantDuration(report.leaseMicros());
+            long durationMicros = leaseClock.grantDurationMicros(report.leaseMicros());
             boolean recent = nowMicros - forwarder.receivedAtMicros() <= durationMicros / 2;
             if (!forwarder.answered() && recent) {
                 candidates.add(new GrantCandidate(
                         forwarder.name(),
                         report.minGrantRate(),
                         (forwarder.demand() + MIN_DEMAND) * spillover.affinity(forwarder.zone(), zone),
-                        leaseClock.grantOutstandingUntil(forwarder.receivedAtMicros(), durationMicros)));
+                        leaseClock.grantOutstandingUntilMicros(forwarder.receivedAtMicros(), durationMicros)));
             }
         }
         candidates.sort(Comparator.comparingDouble((GrantCandidate candidate) -> -candidate.weight())
--- a/src/main/java/sedgeyoke/plan/remote/PlannerClient.java
+++ b/src/main/java/sedgeyoke/plan/remote/PlannerClient.java
@@ -98,19 +98,19 @@
 
     /** Reports are sent after the policy knows the quota that they delegate, so that it is never used twice. */
     private void sendReports() {
-        long now = port.now();
-        LoadBalancingPolicy.Summary summary = port.policy().summary(now);
+        long nowMicros = port.now();
+        LoadBalancingPolicy.Summary summary = port.policy().summary(nowMicros);
         Map<PlannerConnection, ForwarderReport> reports = new LinkedHashMap<>();
         for (ReconnectingDialer<PlannerConnection> planner : planners) {
             Optional<PlannerConnection> connection = planner.readyConnection();
             if (connection.isPresent()
-                    && subscriber.isReportDue(now, connection.get().peerName())) {
+                    && subscriber.isReportDue(nowMicros, connection.get().peerName())) {
                 reports.put(
                         connection.get(),
-                        subscriber.createReport(now, connection.get().peerName(), summary));
+                        subscriber.createReport(nowMicros, connection.get().peerName(), summary));
             }
         }
-        port.policy().planUpdated(now, subscriber.currentPlan(now));
+        port.policy().planUpdated(nowMicros, subscriber.currentPlan(nowMicros));
         reports.forEach((connection, report) -> connection.send(
                 Frame.newBuilder().setReport(PlannerCodec.encodeReport(report)).build()));
     }
@@ -128,8 +128,8 @@
                 return;
             }
             PlanMessage plan = PlannerCodec.decodePlan(peerName(), frame.getPlan());
-            long now = port.now();
-            if (subscriber.handlePlan(now, plan) && subscriber.affectsCurrentPlan(now, plan)) {
+            long nowMicros = port.now();
+            if (subscriber.handlePlan(nowMicros, plan) && subscriber.affectsCurrentPlan(nowMicros, plan)) {
                 port.deliver(PlannerClient.this::updatePolicy);
             }
         }
--- a/src/test/java/sedgeyoke/consensus/ElectionTest.java
+++ b/src/test/java/sedgeyoke/consensus/ElectionTest.java
@@ -71,9 +71,9 @@
     void electionTimeoutIsBetweenItsMinimumAndTwiceThat() {
         for (int i = 0; i < 100; i++) {
             election.restartTimeout();
-            state.now += TIMING.electionTimeoutMicros() - 1;
+            state.nowMicros += TIMING.electionTimeoutMicros() - 1;
             assertFalse(election.isTimedOut());
-            state.now += TIMING.electionTimeoutMicros() + 1;
+            state.nowMicros += TIMING.electionTimeoutMicros() + 1;
             assertTrue(election.isTimedOut());
         }
     }
@@ -127,14 +127,14 @@
 
     @Test
     void voteRequestIsIgnoredWhileTheLeaderIsInContact() {
-        state.lastLeaderContactAt = state.now;
+        state.lastLeaderContactAtMicros = state.nowMicros;
         assertFalse(grantsVote(new RaftMessage.RequestVote(TERM + 1, 2, 3, false)));
         assertEquals(TERM, state.term);
     }
 
     @Test
     void leadershipTransferOverridesContactWithTheLeader() {
-        state.lastLeaderContactAt = state.now;
+        state.lastLeaderContactAtMicros = state.nowMicros;
         assertTrue(grantsVote(new RaftMessage.RequestVote(TERM + 1, 2, 3, true)));
     }
 
--- a/src/test/java/sedgeyoke/consensus/FaultySafetyRules.java
+++ b/src/test/java/sedgeyoke/consensus/FaultySafetyRules.java
@@ -51,26 +51,26 @@
     private static void leaseFaults(Map<String, Function<RaftTiming, SafetyRules>> faulty) {
         faulty.put("a lease counts from when the response arrived", timing -> new SafetyRules(timing) {
             @Override
-            long leaseUsableUntil(long sentAt, long receivedAt) {
-                return receivedAt + timing.leaseMicros();
+            long leaseUsableUntilMicros(long sentAtMicros, long receivedAtMicros) {
+                return receivedAtMicros + timing.leaseMicros();
             }
         });
         faulty.put("a lease never expires", timing -> new SafetyRules(timing) {
             @Override
-            long leaseUsableUntil(long sentAt, long receivedAt) {
+            long leaseUsableUntilMicros(long sentAtMicros, long receivedAtMicros) {
                 return Long.MAX_VALUE;
             }
         });
         faulty.put("a lease is longer for its holder than for the leader", timing -> new SafetyRules(timing) {
             @Override
-            long leaseHeldUntil(long requestedAt) {
-                return requestedAt + timing.leaseMicros() / 2;
+            long leaseHeldUntilMicros(long requestedAtMicros) {
+                return requestedAtMicros + timing.leaseMicros() / 2;
             }
         });
         faulty.put("leases of earlier leaders are forgotten", timing -> new SafetyRules(timing) {
             @Override
-            long earlierLeasesEnd(long leaderSince) {
-                return leaderSince;
+            long earlierLeasesEndMicros(long leaderSinceMicros) {
+                return leaderSinceMicros;
             }
         });
         faulty.put("a version is activated at once", timing -> new SafetyRules(timing) {
--- a/src/test/java/sedgeyoke/consensus/LeaseTableTest.java
+++ b/src/test/java/sedgeyoke/consensus/LeaseTableTest.java
@@ -46,7 +46,7 @@
 
     @Test
     void versionIsNotCoveredWhileLeasesOfEarlierLeadersMayBeHeld() {
-        long end = TIMING.drift().upperBound(TIMING.leaseMicros());
+        long end = TIMING.drift().upperBoundMicros(TIMING.leaseMicros());
         assertFalse(table.allHoldersCover(1, end - 1));
         assertTrue(table.allHoldersCover(1, end));
     }
@@ -54,7 +54,7 @@
     @Test
     void versionIsNotCoveredUntilLeasesOnOlderVersionExpire() {
         long grantedAt = 2 * TIMING.leaseMicros();
-        long end = grantedAt + TIMING.drift().upperBound(TIMING.leaseMicros());
+        long end = grantedAt + TIMING.drift().upperBoundMicros(TIMING.leaseMicros());
         grant(1, 0, grantedAt, null);
         assertFalse(table.allHoldersCover(1, end - 1));
         assertTrue(table.allHoldersCover(1, end));
--- a/src/test/java/sedgeyoke/consensus/PersistenceQueueTest.java
+++ b/src/test/java/sedgeyoke/consensus/PersistenceQueueTest.java
@@ -105,9 +105,9 @@
     void queueIsStalledAfterAnElectionTimeout() {
         append(1);
         flush();
-        state.now += TIMING.electionTimeoutMicros();
+        state.nowMicros += TIMING.electionTimeoutMicros();
         assertFalse(queue.isStalled());
-        state.now++;
+        state.nowMicros++;
         assertTrue(queue.isStalled());
     }
 
--- a/src/test/java/sedgeyoke/lease/ClockDriftTest.java
+++ b/src/test/java/sedgeyoke/lease/ClockDriftTest.java
@@ -9,16 +9,16 @@
     @Test
     void boundsAreRoundedAwayFromTheDuration() {
         ClockDrift drift = new ClockDrift(1_000);
-        assertEquals(1_003, drift.upperBound(1_001));
-        assertEquals(999, drift.lowerBound(1_000));
-        assertEquals(998, drift.lowerBound(999));
+        assertEquals(1_003, drift.upperBoundMicros(1_001));
+        assertEquals(999, drift.lowerBoundMicros(1_000));
+        assertEquals(998, drift.lowerBoundMicros(999));
     }
 
     @Test
     void withoutDriftBothBoundsAreTheDuration() {
         ClockDrift drift = new ClockDrift(0);
-        assertEquals(1_000, drift.upperBound(1_000));
-        assertEquals(1_000, drift.lowerBound(1_000));
+        assertEquals(1_000, drift.upperBoundMicros(1_000));
+        assertEquals(1_000, drift.lowerBoundMicros(1_000));
     }
 
     @Test
--- a/src/test/java/sedgeyoke/plan/PlanSafetyTest.java
+++ b/src/test/java/sedgeyoke/plan/PlanSafetyTest.java
@@ -85,36 +85,36 @@
     private static void faultyLeaseTimes(Map<String, PlanSimulation.Faults> faultyVariants) {
         faultyVariants.put("a deposit is timed from its receipt", planners(new LeaseClock(PlanSimulation.DRIFT_PPM) {
             @Override
-            public long depositCountsUntil(long echoedAt, long receivedAt, long lease) {
-                return receivedAt + lease;
+            public long depositCountsUntilMicros(long echoedAtMicros, long receivedAtMicros, long leaseMicros) {
+                return receivedAtMicros + leaseMicros;
             }
         }));
         faultyVariants.put("a grant is timed from its receipt", subscribers(new LeaseClock(PlanSimulation.DRIFT_PPM) {
             @Override
-            public long grantUsableUntil(long echoedAt, long receivedAt, long grantFor) {
-                return receivedAt + grantFor;
+            public long grantUsableUntilMicros(long echoedAtMicros, long receivedAtMicros, long grantForMicros) {
+                return receivedAtMicros + grantForMicros;
             }
         }));
         faultyVariants.put(
                 "a forwarder uses delegated quota before the lease expires",
                 subscribers(new LeaseClock(PlanSimulation.DRIFT_PPM) {
                     @Override
-                    public long reservedUntil(long sentAt, long lease) {
-                        return sentAt + lease / 3;
+                    public long reservedUntilMicros(long sentAtMicros, long leaseMicros) {
+                        return sentAtMicros + leaseMicros / 3;
                     }
                 }));
         faultyVariants.put(
                 "a restarted forwarder uses its own quota at once",
                 subscribers(new LeaseClock(PlanSimulation.DRIFT_PPM) {
                     @Override
-                    public long startupQuietUntil(long startedAt, long lease) {
-                        return startedAt;
+                    public long ownQuotaBlockedUntilMicros(long startedAtMicros, long leaseMicros) {
+                        return startedAtMicros;
                     }
                 }));
         faultyVariants.put("a grant counts as expired before it is", planners(new LeaseClock(PlanSimulation.DRIFT_PPM) {
             @Override
-            public long grantOutstandingUntil(long reportedAt, long grantFor) {
-                return reportedAt + grantFor / 4;
+            public long grantOutstandingUntilMicros(long reportedAtMicros, long grantForMicros) {
+                return reportedAtMicros + grantForMicros / 4;
             }
         }));
     }
