--- a/src/main/java/sedgeyoke/proxy/DiscoveryTimings.java
+++ b/src/main/java/sedgeyoke/proxy/DiscoveryTimings.java
@@ -27,7 +27,7 @@
  *   <li>Once the list is taken over, nothing more is written to the upstream: {@link UpstreamConnectionPool} checks
  *       each attempt in the moment of writing and withholds it as {@link WithheldReason#UPSTREAM_NOT_READY}.
  *   <li>A process that starts with an older list forwards nothing before the first answer of discovery, for at most
- *       {@link ConfirmedList#MAX_WAIT_MILLIS}.
+ *       {@link InitialListBarrier#MAX_WAIT_MICROS}.
  * </ul>
  *
  * @param watchWaitMicros how long a watch waits for changes
--- a/src/main/java/sedgeyoke/proxy/ExchangeTable.java
+++ b/src/main/java/sedgeyoke/proxy/ExchangeTable.java
@@ -31,7 +31,7 @@
     private final PolicyEvents events;
     private final RequestMetrics metrics;
     private final RateLimitedLog log;
-    private final ConfirmedList confirmedList;
+    private final InitialListBarrier initialListBarrier;
     private final Map<String, Exchange> exchanges = new HashMap<>();
     /** When the last response must be out; limits all deadlines during a graceful shutdown. */
     private long lastResponseMicros = Long.MAX_VALUE;
@@ -45,7 +45,7 @@
             BodyLimits bodies,
             PolicyEvents events,
             RequestMetrics metrics,
-            ConfirmedList confirmedList,
+            InitialListBarrier initialListBarrier,
             RateLimitedLog log) {
         this.loop = loop;
         this.clock = clock;
@@ -53,7 +53,7 @@
         this.bodies = bodies;
         this.events = events;
         this.metrics = metrics;
-        this.confirmedList = confirmedList;
+        this.initialListBarrier = initialListBarrier;
         this.log = log;
     }
 
@@ -87,7 +87,7 @@
         exchange.deadlineMicros = clock.now() + leftMicros;
         exchanges.put(request.id(), exchange);
         startDeadlineTimer(exchange, leftMicros);
-        confirmedList.whenConfirmed(() -> notifyUnlessAnswered(exchange));
+        initialListBarrier.whenReleased(() -> notifyUnlessAnswered(exchange));
     }
 
     private void notifyUnlessAnswered(Exchange exchange) {
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/InitialListBarrier.java
@@ -0,0 +1,71 @@
+package sedgeyoke.proxy;
+
+import io.netty.channel.EventLoop;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Queues the requests that arrive before discovery has confirmed the endpoint list of the configuration. That list may
+ * be older than the process, and its draining upstreams must get nothing even in the first moment. If discovery does
+ * not answer, the requests are released after a limit and forwarded by the configured list. Event loop only.
+ */
+final class InitialListBarrier {
+    /** From the first call to discovery on; the call begins well before clients can connect. */
+    static final long MAX_WAIT_MICROS = 1_000_000;
+
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    private final EventLoop loop;
+    private final RateLimitedLog log;
+    private final List<Runnable> queued = new ArrayList<>();
+    private boolean released;
+
+    InitialListBarrier(EventLoop loop, RateLimitedLog log) {
+        this.loop = loop;
+        this.log = log;
+    }
+
+    /** Starts the time limit. */
+    void start() {
+        loop.schedule(this::timedOut, MAX_WAIT_MICROS, TimeUnit.MICROSECONDS);
+    }
+
+    /**
+     * Runs {@code request} once requests are released: now, or when discovery has answered or the limit is over. The
+     * caller checks then whether the request is still open.
+     */
+    void whenReleased(Runnable request) {
+        if (released) {
+            request.run();
+        } else {
+            queued.add(request);
+        }
+    }
+
+    /** Whether requests are forwarded. */
+    boolean isReleased() {
+        return released;
+    }
+
+    /** Discovery has answered: what is queued is released. */
+    void listConfirmed() {
+        if (!released) {
+            release("endpoints: confirmed by discovery");
+        }
+    }
+
+    private void timedOut() {
+        if (!released) {
+            release("endpoints: discovery has not answered for " + MAX_WAIT_MICROS / MICROS_PER_MILLI
+                    + " ms, the list of the configuration is used");
+        }
+    }
+
+    private void release(String reason) {
+        released = true;
+        log.state(reason + "; " + queued.size() + " requests were held");
+        queued.forEach(Runnable::run);
+        queued.clear();
+    }
+}
--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -14,6 +14,25 @@
 /**
  * Connects the policy with the exchanges, the connection pool and discovery of one balancer, and is what the frontend
  * and other features call. Event loop only.
+ *
+ * <p>The first second of a process, in this order:
+ *
+ * <ol>
+ *   <li>{@code BalancerMain} first installs the handler of SIGHUP, then reads the configuration and builds the
+ *       balancer; nothing runs yet.
+ *   <li>{@link #start} runs on the event loop: the time limit of the {@link InitialListBarrier} begins; the policy
+ *       starts, and gets the endpoint list of the configuration as {@link ListKind#RESTORED}; {@link DiscoveryClient}
+ *       makes its first call, which returns at once; the stored {@link Cordons} are read.
+ *   <li>Meanwhile {@link JitWarmUp} serves requests in the process, on a thread of its own, so that its code is
+ *       compiled.
+ *   <li>{@code BalancerMain} installs the shutdown hook and only then binds the listener: from here on clients can
+ *       connect, and each accepted request gets a response even if SIGTERM comes now.
+ *   <li>Requests that arrive before the first answer of discovery are queued in the {@link InitialListBarrier}. The
+ *       answer releases them, or the limit does, 1 s after the first call.
+ *   <li>From the first list of discovery on, a launch that is newly listed counts as recent in the policy's
+ *       {@code LaunchTimes}; the list of the configuration may name launches of any age.
+ *   <li>The admin endpoint is bound, and the optional features start.
+ * </ol>
  */
 final class ProxyCore implements PolicyPort {
     /** SIGKILL does not wait for longer deadlines (PROTOCOL, "Figures"). */
@@ -34,7 +53,7 @@
     private final UpstreamConnectionPool pool;
     private final DiscoveryClient discovery;
     private final DiscoveryMetrics discoveryMetrics = new DiscoveryMetrics();
-    private final ConfirmedList confirmedList;
+    private final InitialListBarrier initialListBarrier;
     private final Cordons cordons;
     private boolean started;
 
@@ -63,8 +82,8 @@
         this.log = new RateLimitedLog(transport.log(), config.name(), clock::now);
         this.metrics = new RequestMetrics(config.instanceSettings().classNames());
         this.events = new PolicyEvents(log);
-        this.confirmedList = new ConfirmedList(loop, log);
-        this.exchanges = new ExchangeTable(loop, clock, settings, bodies, events, metrics, confirmedList, log);
+        this.initialListBarrier = new InitialListBarrier(loop, log);
+        this.exchanges = new ExchangeTable(loop, clock, settings, bodies, events, metrics, initialListBarrier, log);
         UpstreamContext context = new UpstreamContext(
                 loop, clock::now, settings, config.instanceSettings().reportNames(), bodies, budget, exchanges, log);
         int maxUpstreamConnections = (int) (UPSTREAM_SOCKET_SHARE * config.sockets());
@@ -93,7 +112,7 @@
             return;
         }
         started = true;
-        confirmedList.start();
+        initialListBarrier.start();
         events.deliver(() -> events.policy().start(now()));
         EndpointList known = config.known();
         pool.update(known);
@@ -119,7 +138,7 @@
 
         @Override
         public void confirmed() {
-            confirmedList.confirmed();
+            initialListBarrier.listConfirmed();
         }
 
         @Override
@@ -140,7 +159,7 @@
 
     /** Whether clients may be taken: discovery has answered, or the configured list has to do. */
     boolean ready() {
-        return discovery.hasList() || !config.known().members().isEmpty() && confirmedList.released();
+        return discovery.hasList() || !config.known().members().isEmpty() && initialListBarrier.isReleased();
     }
 
     // ---- For the frontend ----------------------------------------------------------------------------
--- a/src/main/java/sedgeyoke/serve/BalancerMain.java
+++ b/src/main/java/sedgeyoke/serve/BalancerMain.java
@@ -13,7 +13,8 @@
 
 /**
  * Starts one balancer from its environment and shuts it down gracefully on SIGTERM. What the operator's file turns on
- * is in {@link OptionalFeatures}, which is loaded only if such a file is named.
+ * is in {@link OptionalFeatures}, which is loaded only if such a file is named. The class comment of {@code ProxyCore}
+ * lists the steps of a start in their order.
  */
 public final class BalancerMain {
     private static final String USAGE = "usage: serve [--config FILE]";
