--- a/src/main/java/sedgeyoke/proxy/Cordons.java
+++ b/src/main/java/sedgeyoke/proxy/Cordons.java
@@ -49,7 +49,7 @@
                 changed();
             }
         } catch (IOException e) {
-            log.line("cordons: the previous ones stay in force: " + e.getMessage());
+            log.line("cordons: file not loaded, keeping the previous cordons: " + e.getMessage());
         }
     }
 
@@ -66,7 +66,7 @@
             }
             return done;
         } catch (IOException e) { // it would be lost with the next upgrade, so it is not accepted
-            log.line("cordons: " + e);
+            log.line("cordons: change rejected: " + e);
             return false;
         }
     }
--- a/src/main/java/sedgeyoke/proxy/DiscoveryClient.java
+++ b/src/main/java/sedgeyoke/proxy/DiscoveryClient.java
@@ -139,7 +139,7 @@
         if (newAddress.equals(address)) {
             return;
         }
-        log.state("discovery: moves from " + address + " to " + newAddress);
+        log.state("discovery: address changed from " + address + " to " + newAddress);
         address = newAddress;
         revisions.reset();
         boolean interrupted = callInProgress;
--- a/src/main/java/sedgeyoke/proxy/DiscoveryConnection.java
+++ b/src/main/java/sedgeyoke/proxy/DiscoveryConnection.java
@@ -19,8 +19,8 @@
 import java.net.SocketAddress;
 
 /**
- * One connection to discovery, which carries one call at a time. It opens itself with the first call, and says how each
- * call ends, once. Event loop only.
+ * One connection to discovery, which carries one call at a time. It connects when it is created, and notifies its
+ * listener once of how each call ended. Event loop only.
  */
 final class DiscoveryConnection {
     /** The longest list: far more than any fleet's, and little enough to buffer. */
@@ -35,7 +35,7 @@
     private boolean callInProgress;
     private boolean closedByUs;
 
-    /** Learns how calls end; nothing is called after {@link #close}. */
+    /** Notified of how calls ended; nothing is called after {@link #close}. */
     interface Listener {
         /** A complete response has come. */
         void responded(DiscoveryConnection connection, FullHttpResponse response);
@@ -101,7 +101,7 @@
         channel.writeAndFlush(request);
     }
 
-    /** Closes it; a call in progress is given up without a word to the listener. */
+    /** Closes it; a call in progress is abandoned, and the listener is not notified. */
     void close() {
         callInProgress = false;
         closedByUs = true;
@@ -134,7 +134,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            end("call broken off");
+            end("connection closed during the call");
         }
 
         @Override
--- a/src/main/java/sedgeyoke/proxy/DiscoveryFailures.java
+++ b/src/main/java/sedgeyoke/proxy/DiscoveryFailures.java
@@ -25,7 +25,8 @@
     /** A call has got no complete answer in time and is retried. */
     void answerOverdue(long callStartedMicros) {
         metrics.count(DiscoveryMetrics.Event.ANSWER_OVERDUE);
-        log.state("discovery: no complete answer after " + millisSince(callStartedMicros) + " ms, asks again");
+        log.state("discovery: no complete response after " + millisSince(callStartedMicros)
+                + " ms; retrying on another connection");
         recordFailure(callStartedMicros);
     }
 
@@ -43,7 +44,7 @@
     /** A list was accepted. */
     void recovered() {
         if (failingSinceMicros != NOT_FAILING) {
-            log.state("discovery: answers again after " + millisSince(failingSinceMicros) + " ms");
+            log.state("discovery: recovered after " + millisSince(failingSinceMicros) + " ms");
             failingSinceMicros = NOT_FAILING;
         }
     }
--- a/src/main/java/sedgeyoke/proxy/InitialListBarrier.java
+++ b/src/main/java/sedgeyoke/proxy/InitialListBarrier.java
@@ -57,14 +57,14 @@
 
     private void timedOut() {
         if (!released) {
-            release("endpoints: discovery has not answered for " + MAX_WAIT_MICROS / MICROS_PER_MILLI
-                    + " ms, the list of the configuration is used");
+            release("endpoints: no response from discovery within " + MAX_WAIT_MICROS / MICROS_PER_MILLI
+                    + " ms, using the configured list");
         }
     }
 
     private void release(String reason) {
         released = true;
-        log.state(reason + "; " + queued.size() + " requests were held");
+        log.state(reason + "; " + queued.size() + " queued requests released");
         queued.forEach(Runnable::run);
         queued.clear();
     }
--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -149,9 +149,10 @@
 
     /** Takes over what may change without a restart, from a configuration that was read again. */
     void reload(BalancerConfig changed) {
-        List<String> fixed = config.needRestart(changed);
-        if (!fixed.isEmpty()) {
-            log.line("reload: " + String.join(", ", fixed) + " stay as they are until a restart");
+        List<String> fieldsThatNeedRestart = config.needRestart(changed);
+        if (!fieldsThatNeedRestart.isEmpty()) {
+            log.line("reload: changes to " + String.join(", ", fieldsThatNeedRestart)
+                    + " are ignored until a restart");
         }
         log.line("reload: discovery at " + changed.discovery());
         discovery.moveTo(changed.discovery());
@@ -237,8 +238,9 @@
     /** Logs how much memory streamed bodies have used, where they are on. */
     void reportBodies() {
         if (bodies.streaming()) {
-            log.line("bodies: at most " + budget.largest() + " of " + bodies.ceiling()
-                    + " bytes held for one in a direction, " + budget.rejected() + " refused for want of room");
+            log.line("bodies: peak of " + budget.largest() + " of " + bodies.ceiling()
+                    + " bytes buffered for one direction of a transfer; " + budget.rejected()
+                    + " rejected because the buffer budget was used up");
         }
     }
 
--- a/src/main/java/sedgeyoke/proxy/RateLimitedLog.java
+++ b/src/main/java/sedgeyoke/proxy/RateLimitedLog.java
@@ -46,7 +46,7 @@
         long second = now / MICROS_PER_SECOND;
         if (second != budget.second) {
             if (budget.dropped > 0) {
-                print(now, "(" + budget.dropped + " lines left out)");
+                print(now, "(" + budget.dropped + " lines suppressed)");
             }
             budget.startSecond(second);
         }
--- a/src/main/java/sedgeyoke/proxy/UpstreamConnectionPool.java
+++ b/src/main/java/sedgeyoke/proxy/UpstreamConnectionPool.java
@@ -217,7 +217,7 @@
         if (!ConnectFailures.isLocal(cause)) {
             end(attempt, Outcome.CONNECT_FAILED);
         } else if (!attempt.ended) {
-            context.log().line("no connection could be opened on this machine: " + cause);
+            context.log().line("connect failed because of this machine: " + cause);
             context.loop()
                     .schedule(
                             () -> withhold(attempt, WithheldReason.NO_LOCAL_SOCKET),
--- a/src/main/java/sedgeyoke/proxy/UpstreamResponse.java
+++ b/src/main/java/sedgeyoke/proxy/UpstreamResponse.java
@@ -43,7 +43,7 @@
             values = null;
         }
         if (values == null || !values.isObject() || !names.stream().allMatch(isValidIn(values))) {
-            log.line("a load report that cannot be read");
+            log.line("load report ignored: malformed");
             return null;
         }
         JsonNode report = values;
--- a/src/main/java/sedgeyoke/serve/OptionalFeatures.java
+++ b/src/main/java/sedgeyoke/serve/OptionalFeatures.java
@@ -121,9 +121,10 @@
     synchronized void reload(Consumer<String> log) {
         try {
             OperatorFile changed = OperatorFile.load(path, log);
-            List<String> fixed = file.needRestart(changed);
-            if (!fixed.isEmpty()) {
-                log.accept("reload: " + String.join(", ", fixed) + " stay as they are until a restart");
+            List<String> keysThatNeedRestart = file.needRestart(changed);
+            if (!keysThatNeedRestart.isEmpty()) {
+                log.accept("reload: changes to " + String.join(", ", keysThatNeedRestart)
+                        + " are ignored until a restart");
             }
             if (planners != null) {
                 loop.execute(() -> planners.reload(changed.plans()));
