--- a/src/main/java/sedgeyoke/proxy/Cordons.java
+++ b/src/main/java/sedgeyoke/proxy/CordonRegistry.java
@@ -2,16 +2,14 @@
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
-import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
 /**
  * The upstreams that operators have taken out of service: at this balancer's admin endpoint, or for the whole fleet in
  * the config servers. Event loop only.
  */
-final class Cordons {
+final class CordonRegistry {
     /** How soon a cordon set in one process of a balancer reaches the other one during an upgrade. */
     private static final long REFRESH_INTERVAL_MILLIS = 100;
 
@@ -20,10 +18,10 @@
     private final UpstreamConnectionPool pool;
     private final CordonStore local;
     private final RateLimitedLog log;
-    /** By id, since when this process knows of it. */
-    private Map<String, Long> fleetWide = Map.of();
+    /** The time of each is when this process was notified of it. */
+    private CordonSet fleetWide = CordonSet.EMPTY;
 
-    Cordons(
+    CordonRegistry(
             PolicyClock clock,
             PolicyEvents events,
             UpstreamConnectionPool pool,
@@ -55,16 +53,16 @@
 
     /** Cordons an upstream or ends that; false for an unknown id or where it cannot be stored. */
     boolean set(String id, boolean cordoned) {
-        if (!pool.knows(id) && !local.out().containsKey(id)) {
+        CordonSet before = local.cordons();
+        if (!pool.knows(id) && !before.contains(id)) {
             return false;
         }
-        Map<String, Long> before = local.out();
         try {
-            boolean done = local.set(id, cordoned, clock.now());
-            if (!before.equals(local.out())) {
+            boolean applied = local.set(id, cordoned, clock.now());
+            if (!before.equals(local.cordons())) {
                 changed();
             }
-            return done;
+            return applied;
         } catch (IOException e) { // it would be lost with the next upgrade, so it is not accepted
             log.line("cordons: change rejected: " + e);
             return false;
@@ -73,8 +71,7 @@
 
     /** Takes over the ids that are cordoned for the whole fleet. */
     void setFleetWide(Set<String> upstreams) {
-        Map<String, Long> next = new TreeMap<>();
-        upstreams.forEach(id -> next.put(id, fleetWide.getOrDefault(id, clock.now())));
+        CordonSet next = fleetWide.changedTo(upstreams, clock.now());
         if (!next.equals(fleetWide)) {
             fleetWide = next;
             changed();
@@ -82,10 +79,9 @@
     }
 
     private void changed() {
-        Map<String, Long> all = new TreeMap<>(local.out());
-        fleetWide.forEach(all::putIfAbsent);
-        log.line("cordons: " + (all.isEmpty() ? "none" : String.join(" ", all.keySet())));
-        pool.updateCordons(all.keySet());
-        events.deliver(() -> events.policy().cordonsUpdated(clock.now(), all));
+        CordonSet all = local.cordons().union(fleetWide);
+        log.line("cordons: " + (all.isEmpty() ? "none" : String.join(" ", all.ids())));
+        pool.updateCordons(all); // first: nothing may be written to these upstreams once the policy reacts
+        events.deliver(() -> events.policy().cordonsUpdated(clock.now(), all.sinceMicrosById()));
     }
 }
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/CordonSet.java
@@ -0,0 +1,64 @@
+package sedgeyoke.proxy;
+
+import java.util.Collections;
+import java.util.Set;
+import java.util.SortedMap;
+import java.util.TreeMap;
+
+/**
+ * A set of cordoned upstreams, immutable.
+ *
+ * @param sinceMicrosById for each upstream's id, in natural order, since when it is cordoned: microseconds on the clock
+ *     of the policy
+ */
+record CordonSet(SortedMap<String, Long> sinceMicrosById) {
+    static final CordonSet EMPTY = new CordonSet(Collections.emptySortedMap());
+
+    CordonSet {
+        sinceMicrosById = Collections.unmodifiableSortedMap(new TreeMap<>(sinceMicrosById));
+    }
+
+    boolean contains(String id) {
+        return sinceMicrosById.containsKey(id);
+    }
+
+    Set<String> ids() {
+        return sinceMicrosById.keySet();
+    }
+
+    int size() {
+        return sinceMicrosById.size();
+    }
+
+    boolean isEmpty() {
+        return sinceMicrosById.isEmpty();
+    }
+
+    /** This set and one more cordon. */
+    CordonSet with(String id, long sinceMicros) {
+        SortedMap<String, Long> changed = new TreeMap<>(sinceMicrosById);
+        changed.put(id, sinceMicros);
+        return new CordonSet(changed);
+    }
+
+    /** This set without the cordon of an upstream. */
+    CordonSet without(String id) {
+        SortedMap<String, Long> changed = new TreeMap<>(sinceMicrosById);
+        changed.remove(id);
+        return new CordonSet(changed);
+    }
+
+    /** The cordons of exactly these upstreams: those that this set has keep their time, others begin now. */
+    CordonSet changedTo(Set<String> ids, long nowMicros) {
+        SortedMap<String, Long> changed = new TreeMap<>();
+        ids.forEach(id -> changed.put(id, sinceMicrosById.getOrDefault(id, nowMicros)));
+        return new CordonSet(changed);
+    }
+
+    /** All cordons of both sets; where both have an upstream, the time of this set counts. */
+    CordonSet union(CordonSet other) {
+        SortedMap<String, Long> all = new TreeMap<>(other.sinceMicrosById);
+        all.putAll(sinceMicrosById);
+        return new CordonSet(all);
+    }
+}
--- a/src/main/java/sedgeyoke/proxy/CordonStore.java
+++ b/src/main/java/sedgeyoke/proxy/CordonStore.java
@@ -9,9 +9,8 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.SortedMap;
 import java.util.TreeMap;
 
 /**
@@ -28,7 +27,7 @@
     private static final String LAST_LINE = "end";
 
     private final Path file;
-    private Map<String, Long> cordons = Map.of();
+    private CordonSet cordons = CordonSet.EMPTY;
     /** The content of the file when it was read or written last. */
     private String lastContent = "";
 
@@ -37,8 +36,8 @@
         this.file = file;
     }
 
-    /** Ids of upstreams and since when each is cordoned, in microseconds on the clock of the policy. */
-    Map<String, Long> out() {
+    /** The cordons that were read or set last. */
+    CordonSet cordons() {
         return cordons;
     }
 
@@ -65,26 +64,20 @@
     }
 
     private boolean apply(String id, boolean cordoned, long nowMicros) {
-        if (cordoned == cordons.containsKey(id)) {
+        if (cordoned == cordons.contains(id)) {
             return true;
         } else if (cordoned && cordons.size() >= MAX_CORDONS) {
             return false;
         }
-        Map<String, Long> changed = new TreeMap<>(cordons);
-        if (cordoned) {
-            changed.put(id, nowMicros);
-        } else {
-            changed.remove(id);
-        }
-        cordons = Map.copyOf(changed);
+        cordons = cordoned ? cordons.with(id, nowMicros) : cordons.without(id);
         return true;
     }
 
     private void write() throws IOException {
         StringBuilder text = new StringBuilder(FIRST_LINE).append('\n');
-        new TreeMap<>(cordons)
-                .forEach(
-                        (id, since) -> text.append(since).append(' ').append(id).append('\n'));
+        cordons.sinceMicrosById()
+                .forEach((id, sinceMicros) ->
+                        text.append(sinceMicros).append(' ').append(id).append('\n'));
         text.append(LAST_LINE).append('\n');
         Path next = file.resolveSibling(file.getFileName() + ".next");
         Files.writeString(next, text);
@@ -113,21 +106,21 @@
             return false;
         }
         lastContent = text; // even if it is invalid, so that each content is reported once
-        Map<String, Long> found = parse(text);
+        CordonSet found = parse(text);
         boolean changed = !found.equals(cordons);
         cordons = found;
         return changed;
     }
 
-    private Map<String, Long> parse(String text) throws IOException {
+    private CordonSet parse(String text) throws IOException {
         List<String> lines = text.lines().toList();
         if (lines.size() < 2
                 || lines.size() > MAX_CORDONS + 2
                 || !lines.get(0).equals(FIRST_LINE)
                 || !lines.get(lines.size() - 1).equals(LAST_LINE)) {
-            throw new InvalidCordonFileException(file, "not whole, or of another version");
+            throw new InvalidCordonFileException(file, "incomplete, or of another version");
         }
-        Map<String, Long> found = new LinkedHashMap<>();
+        SortedMap<String, Long> found = new TreeMap<>();
         for (int i = 1; i < lines.size() - 1; i++) {
             String[] parts = lines.get(i).split(" ", 2);
             try {
@@ -136,6 +129,6 @@
                 throw new InvalidCordonFileException(file, i + 1, "not a time and an id", e);
             }
         }
-        return Map.copyOf(found);
+        return new CordonSet(found);
     }
 }
--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -22,7 +22,7 @@
  *       balancer; nothing runs yet.
  *   <li>{@link #start} runs on the event loop: the time limit of the {@link InitialListBarrier} begins; the policy
  *       starts, and gets the endpoint list of the configuration as {@link ListKind#RESTORED}; {@link DiscoveryClient}
- *       makes its first call, which returns at once; the stored {@link Cordons} are read.
+ *       makes its first call, which returns at once; the stored cordons ({@link CordonStore}) are read.
  *   <li>Meanwhile {@link JitWarmUp} serves requests in the process, on a thread of its own, so that its code is
  *       compiled.
  *   <li>{@code BalancerMain} installs the shutdown hook and only then binds the listener: from here on clients can
@@ -54,7 +54,7 @@
     private final DiscoveryClient discovery;
     private final DiscoveryMetrics discoveryMetrics = new DiscoveryMetrics();
     private final InitialListBarrier initialListBarrier;
-    private final Cordons cordons;
+    private final CordonRegistry cordons;
     private boolean started;
 
     ProxyCore(EventLoop loop, BalancerConfig config, Transport transport, BodyLimits bodies) {
@@ -90,7 +90,7 @@
         this.pool = new UpstreamConnectionPool(context, transport, maxUpstreamConnections, metrics);
         this.discovery =
                 new DiscoveryClient(loop, config, transport, clock::now, new ListReceiver(), log, discoveryMetrics);
-        this.cordons = new Cordons(clock, events, pool, new CordonStore(cordonFile(config)), log);
+        this.cordons = new CordonRegistry(clock, events, pool, new CordonStore(cordonFile(config)), log);
         PolicyActions actions = new PolicyActions(loop, clock, settings, events, exchanges, pool, discovery, log);
         events.connect(policy.apply(actions), exchanges::endUnanswered);
     }
--- a/src/main/java/sedgeyoke/proxy/UpstreamConnectionPool.java
+++ b/src/main/java/sedgeyoke/proxy/UpstreamConnectionPool.java
@@ -43,7 +43,7 @@
     private final long maxIdleMicros;
     private final Bootstrap bootstrap;
     private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
-    private Set<String> cordoned = Set.of();
+    private CordonSet cordons = CordonSet.EMPTY;
     private int connections;
 
     UpstreamConnectionPool(UpstreamContext context, Transport transport, int maxConnections, RequestMetrics metrics) {
@@ -98,7 +98,7 @@
                 transport.at(member.address()),
                 member.upstream().launchedAtMicros(),
                 member.upstream().state() == State.READY);
-        endpoint.updateReadiness(cordoned.contains(id));
+        endpoint.updateReadiness(cordons.contains(id));
         if (endpoint.isReady() && !wasReady) {
             changes.ready(id);
         } else if (!endpoint.isReady() && (wasReady || !known)) {
@@ -123,10 +123,10 @@
         }
     }
 
-    /** Takes over the ids of the upstreams that operators have cordoned, before the policy is notified of it. */
-    void updateCordons(Set<String> upstreams) {
-        cordoned = upstreams;
-        endpoints.forEach((id, endpoint) -> endpoint.updateReadiness(cordoned.contains(id)));
+    /** Takes over which upstreams operators have cordoned, before the policy is notified of it. */
+    void updateCordons(CordonSet changed) {
+        cordons = changed;
+        endpoints.forEach((id, endpoint) -> endpoint.updateReadiness(cordons.contains(id)));
     }
 
     /** Whether the endpoint list has such an upstream. */
--- a/src/test/java/sedgeyoke/proxy/CordonStoreTest.java
+++ b/src/test/java/sedgeyoke/proxy/CordonStoreTest.java
@@ -38,10 +38,10 @@
         assertTrue(before.set("s-2", true, 9), "twice is as good as once");
         CordonStore next = new CordonStore(file);
         assertTrue(next.refresh());
-        assertEquals(Map.of("s-1", 7L, "s-2", 8L), next.out());
+        assertEquals(Map.of("s-1", 7L, "s-2", 8L), next.cordons().sinceMicrosById());
         assertTrue(next.set("s-1", false, 10));
         assertTrue(before.refresh());
-        assertEquals(Set.of("s-2"), before.out().keySet());
+        assertEquals(Set.of("s-2"), before.cordons().sinceMicrosById().keySet());
         assertFalse(before.refresh(), "no news");
     }
 
@@ -51,7 +51,7 @@
         cordons.set("s", true, 1);
         cordons.set("s", true, 2);
         assertTrue(cordons.set("s", false, 3));
-        assertEquals(Map.of(), cordons.out());
+        assertEquals(Map.of(), cordons.cordons().sinceMicrosById());
         assertTrue(cordons.set("s", false, 4));
     }
 
@@ -83,9 +83,9 @@
         cordons.set("s", true, 1);
         Files.writeString(file, content);
         assertThrows(IOException.class, cordons::refresh);
-        assertEquals(Set.of("s"), cordons.out().keySet());
+        assertEquals(Set.of("s"), cordons.cordons().sinceMicrosById().keySet());
         assertFalse(cordons.refresh(), "one complaint for each content");
-        assertEquals(Set.of("s"), cordons.out().keySet());
+        assertEquals(Set.of("s"), cordons.cordons().sinceMicrosById().keySet());
     }
 
     @Test
@@ -115,7 +115,7 @@
         }
         CordonStore read = new CordonStore(file);
         read.refresh();
-        assertEquals(2 * Writer.WORDS, read.out().size());
+        assertEquals(2 * Writer.WORDS, read.cordons().sinceMicrosById().size());
     }
 
     /** A process that takes many upstreams out, one after another. */
--- a/src/test/java/sedgeyoke/proxy/StoredCordonsTest.java
+++ b/src/test/java/sedgeyoke/proxy/StoredCordonsTest.java
@@ -34,7 +34,7 @@
     void idsAndTimesAreRead() throws Exception {
         CordonStore cordons = new CordonStore(copy);
         assertTrue(cordons.refresh());
-        assertEquals(IDS, cordons.out());
+        assertEquals(IDS, cordons.cordons().sinceMicrosById());
     }
 
     @Test
