--- a/src/main/java/sedgeyoke/proxy/AdminServer.java
+++ b/src/main/java/sedgeyoke/proxy/AdminServer.java
@@ -34,7 +34,7 @@
     private static final int MAX_CALLERS = 32;
     private static final int MAX_CALL_BYTES = 4_096;
     private static final int MAX_ID_LENGTH = 256;
-    private static final long CALL_TIMEOUT_MILLIS = 3_000;
+    private static final long CALL_TIMEOUT_MICROS = 3_000_000;
 
     private final EventLoop loop;
     private final Transport transport;
@@ -47,7 +47,7 @@
         boolean healthy();
 
         /** The metrics as text. */
-        String figures();
+        String metrics();
 
         /** Cordons or uncordons an upstream; false for an unknown id, or if there are too many cordons. */
         boolean cordon(String id, boolean cordoned);
@@ -86,7 +86,7 @@
         } else if (changes) {
             return cordon(call.content().toString(StandardCharsets.UTF_8).strip(), path.equals("/admin/cordon"));
         } else if (path.equals("/admin/stats")) {
-            return response(HttpResponseStatus.OK, operations.figures());
+            return response(HttpResponseStatus.OK, operations.metrics());
         }
         return operations.healthy()
                 ? response(HttpResponseStatus.OK, "ok\n")
@@ -125,7 +125,7 @@
             if (callers.size() > MAX_CALLERS) {
                 callers.iterator().next().close();
             }
-            loop.schedule(() -> caller.close(), CALL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> caller.close(), CALL_TIMEOUT_MICROS, TimeUnit.MICROSECONDS);
         }
 
         @Override
--- a/src/main/java/sedgeyoke/proxy/BalancerServer.java
+++ b/src/main/java/sedgeyoke/proxy/BalancerServer.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Starts the policy and the calls to discovery, so that the endpoint list is there when clients come. Any thread;
-     * {@link #bind} does it otherwise.
+     * Starts the policy and the calls to discovery, so that the endpoint list is there when clients connect. If it is
+     * not called, {@link #bind} does the same. Any thread.
      */
     public void start() {
         loop.execute(core::start);
@@ -85,13 +85,13 @@
         }
 
         @Override
-        public String figures() {
+        public String metrics() {
             return core.metrics(frontend.inFlight());
         }
 
         @Override
-        public boolean cordon(String id, boolean out) {
-            return core.cordon(id, out);
+        public boolean cordon(String id, boolean cordoned) {
+            return core.cordon(id, cordoned);
         }
     }
 
@@ -100,7 +100,7 @@
         return (InetSocketAddress) bind().syncUninterruptibly().channel().localAddress();
     }
 
-    /** The way to the policy for other features; to be used on the event loop only. */
+    /** Access to the policy for other features; to be used on the event loop only. */
     public PolicyPort port() {
         return core;
     }
@@ -136,7 +136,8 @@
      * @param signalDelayMicros for how long SIGTERM may have been on its way to this process
      */
     public void shutDown(long signalDelayMicros) {
-        ShutdownDeadlines deadlines = new ShutdownDeadlines(core.now() - signalDelayMicros, core.longestDeadline());
+        ShutdownDeadlines deadlines =
+                new ShutdownDeadlines(core.now() - signalDelayMicros, core.longestDeadlineMicros());
         GracefulShutdown shutdown = new GracefulShutdown(loop, core, frontend, deadlines, shutDown);
         loop.execute(shutdown::start);
         shutdown.awaitCompletion();
--- a/src/main/java/sedgeyoke/proxy/CordonRegistry.java
+++ b/src/main/java/sedgeyoke/proxy/CordonRegistry.java
@@ -11,25 +11,21 @@
  */
 final class CordonRegistry {
     /** How soon a cordon set in one process of a balancer reaches the other one during an upgrade. */
-    private static final long REFRESH_INTERVAL_MILLIS = 100;
+    private static final long REFRESH_INTERVAL_MICROS = 100_000;
 
     private final PolicyClock clock;
     private final PolicyEvents events;
-    private final UpstreamConnectionPool pool;
+    private final EndpointTable endpoints;
     private final CordonStore local;
     private final RateLimitedLog log;
     /** The time of each is when this process was notified of it. */
     private CordonSet fleetWide = CordonSet.EMPTY;
 
     CordonRegistry(
-            PolicyClock clock,
-            PolicyEvents events,
-            UpstreamConnectionPool pool,
-            CordonStore local,
-            RateLimitedLog log) {
+            PolicyClock clock, PolicyEvents events, EndpointTable endpoints, CordonStore local, RateLimitedLog log) {
         this.clock = clock;
         this.events = events;
-        this.pool = pool;
+        this.endpoints = endpoints;
         this.local = local;
         this.log = log;
     }
@@ -38,7 +34,7 @@
     void start(EventLoop loop) {
         refresh(); // before the first client
         loop.scheduleWithFixedDelay(
-                this::refresh, REFRESH_INTERVAL_MILLIS, REFRESH_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+                this::refresh, REFRESH_INTERVAL_MICROS, REFRESH_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
     }
 
     private void refresh() {
@@ -54,7 +50,7 @@
     /** Cordons an upstream or ends that; false for an unknown id or where it cannot be stored. */
     boolean set(String id, boolean cordoned) {
         CordonSet before = local.cordons();
-        if (!pool.knows(id) && !before.contains(id)) {
+        if (!endpoints.contains(id) && !before.contains(id)) {
             return false;
         }
         try {
@@ -81,7 +77,7 @@
     private void changed() {
         CordonSet all = local.cordons().union(fleetWide);
         log.line("cordons: " + (all.isEmpty() ? "none" : String.join(" ", all.ids())));
-        pool.updateCordons(all); // first: nothing may be written to these upstreams once the policy reacts
+        endpoints.updateCordons(all); // first: nothing may be written to these upstreams once the policy reacts
         events.deliver(() -> events.policy().cordonsUpdated(clock.now(), all.sinceMicrosById()));
     }
 }
--- a/src/main/java/sedgeyoke/proxy/DiscoveryTimings.java
+++ b/src/main/java/sedgeyoke/proxy/DiscoveryTimings.java
@@ -24,8 +24,9 @@
  * <p>Two parts elsewhere complete the bound:
  *
  * <ul>
- *   <li>Once the list is taken over, nothing more is written to the upstream: {@link UpstreamConnectionPool} checks
- *       each attempt in the moment of writing and withholds it as {@link WithheldReason#UPSTREAM_NOT_READY}.
+ *   <li>Once {@link EndpointTable} has taken the list over, nothing more is written to the upstream:
+ *       {@link UpstreamConnectionPool} checks each attempt in the moment of writing and withholds it as
+ *       {@link WithheldReason#UPSTREAM_NOT_READY}.
  *   <li>A process that starts with an older list forwards nothing before the first answer of discovery, for at most
  *       {@link InitialListBarrier#MAX_WAIT_MICROS}.
  * </ul>
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/EndpointTable.java
@@ -0,0 +1,128 @@
+package sedgeyoke.proxy;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import sedgeyoke.policy.LoadBalancingPolicy.State;
+
+/**
+ * The upstreams of the endpoint list in force, and which of them are ready: listed as ready and not cordoned. Event
+ * loop only; times are microseconds of the policy's clock.
+ */
+final class EndpointTable {
+    private final Transport transport;
+    private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
+    private CordonSet cordons = CordonSet.EMPTY;
+
+    EndpointTable(Transport transport) {
+        this.transport = transport;
+    }
+
+    /** The upstream with this id; null if the endpoint list does not have it. */
+    UpstreamEndpoint get(String upstream) {
+        return endpoints.get(upstream);
+    }
+
+    /** Whether the endpoint list has such an upstream. */
+    boolean contains(String upstream) {
+        return endpoints.containsKey(upstream);
+    }
+
+    // ---- Changes -------------------------------------------------------------------------------------
+
+    /** Takes over an endpoint list, before the policy is notified of it; returns what has changed. */
+    EndpointChanges update(EndpointList list) {
+        EndpointChanges changes = new EndpointChanges();
+        if (list.complete()) {
+            removeUnlisted(list, changes);
+        }
+        for (EndpointList.Member member : list.members()) {
+            if (member.upstream().state() == State.REMOVED) {
+                remove(member.upstream().id(), changes);
+            } else {
+                update(member, changes);
+            }
+        }
+        return changes;
+    }
+
+    private void update(EndpointList.Member member, EndpointChanges changes) {
+        String id = member.upstream().id();
+        UpstreamEndpoint endpoint = endpoints.get(id);
+        boolean added = endpoint == null;
+        if (added) {
+            endpoint = new UpstreamEndpoint();
+            endpoints.put(id, endpoint);
+        }
+        boolean wasReady = endpoint.isReady();
+        if (!added && endpoint.launchTimeMicros() != member.upstream().launchedAtMicros()) {
+            changes.restarted(id);
+        }
+        endpoint.update(
+                transport.at(member.address()),
+                member.upstream().launchedAtMicros(),
+                member.upstream().state() == State.READY);
+        endpoint.updateReadiness(cordons.contains(id));
+        if (endpoint.isReady() && !wasReady) {
+            changes.ready(id);
+        } else if (!endpoint.isReady() && (wasReady || added)) {
+            changes.notReady(id);
+        }
+    }
+
+    private void removeUnlisted(EndpointList list, EndpointChanges changes) {
+        Set<String> listed = new HashSet<>();
+        list.members().forEach(member -> listed.add(member.upstream().id()));
+        List.copyOf(endpoints.keySet()).stream()
+                .filter(id -> !listed.contains(id))
+                .forEach(id -> remove(id, changes));
+    }
+
+    /** Ids of upstreams are never used again, so that the table would grow without limit if they stayed in it. */
+    private void remove(String upstream, EndpointChanges changes) {
+        UpstreamEndpoint endpoint = endpoints.remove(upstream);
+        if (endpoint != null) {
+            endpoint.retire();
+            changes.removed(upstream);
+        }
+    }
+
+    /** Takes over which upstreams operators have cordoned, before the policy is notified of it. */
+    void updateCordons(CordonSet changed) {
+        cordons = changed;
+        endpoints.forEach((id, endpoint) -> endpoint.updateReadiness(cordons.contains(id)));
+    }
+
+    // ---- Idle connections ----------------------------------------------------------------------------
+
+    /** Closes the idle connections to an upstream, if it is listed. */
+    void closeIdle(String upstream) {
+        UpstreamEndpoint endpoint = endpoints.get(upstream);
+        if (endpoint != null) {
+            endpoint.closeIdle();
+        }
+    }
+
+    /** Closes all connections that have been idle for longer. */
+    void closeIdleLongerThan(long maxIdleMicros, long nowMicros) {
+        endpoints.values().forEach(endpoint -> endpoint.closeIdleLongerThan(maxIdleMicros, nowMicros));
+    }
+
+    /** Closes the connection that has been idle for longest; false if none is idle. */
+    boolean closeOldestIdle() {
+        UpstreamEndpoint oldest = null;
+        for (UpstreamEndpoint endpoint : endpoints.values()) {
+            if (endpoint.hasIdle()
+                    && (oldest == null || endpoint.oldestIdleSinceMicros() < oldest.oldestIdleSinceMicros())) {
+                oldest = endpoint;
+            }
+        }
+        if (oldest == null) {
+            return false;
+        }
+        oldest.closeOldestIdle();
+        return true;
+    }
+}
--- a/src/main/java/sedgeyoke/proxy/GracefulShutdown.java
+++ b/src/main/java/sedgeyoke/proxy/GracefulShutdown.java
@@ -6,11 +6,24 @@
 
 /**
  * Runs a graceful shutdown. Clients go on using their connections, and another balancer may be down at the same time,
- * so requests are served for as long as a response is sure to be out before SIGKILL; then connections are closed, and
- * what is in flight is finished. Event loop only, but for {@link #awaitCompletion}.
+ * so requests are served for as long as a response is sure to be out before SIGKILL. Event loop only, but for
+ * {@link #awaitCompletion}.
+ *
+ * <p>Its phases, which {@link ShutdownDeadlines} delimits:
+ *
+ * <ol>
+ *   <li>Draining, from the start: health checks fail, all requests are served. A listener that other processes share
+ *       is theirs from now on.
+ *   <li>Not listening, from {@code listenUntil}: a listener of our own is closed once its backlog is empty; requests on
+ *       open connections are served.
+ *   <li>Closing, from {@code lastRequest}: new requests are rejected, and each connection is closed after its response.
+ *   <li>Ending, from {@code lastResponse}: what is still open is answered or aborted, and connections are closed.
+ * </ol>
+ *
+ * <p>It is complete once, after {@code listenUntil}, no exchange and no connection of a client is open.
  */
 final class GracefulShutdown {
-    private static final long CHECK_INTERVAL_MILLIS = 5;
+    private static final long CHECK_INTERVAL_MICROS = 5_000;
 
     private final EventLoop loop;
     private final ProxyCore core;
@@ -42,25 +55,45 @@
 
     /** Checks the time at short intervals rather than with a timer for each deadline, as the deadlines may move. */
     private void check() {
-        long now = core.now();
-        boolean late = deadlines.checked(now) > TimeUnit.MILLISECONDS.toMicros(CHECK_INTERVAL_MILLIS);
-        core.limitTimes(deadlines.lastResponse(), deadlines.lastRequest());
-        // If the loop is late there may be more to accept than one pass takes, and closing would reset that.
-        if (now >= deadlines.listenUntil() && !frontend.shared() && frontend.backlogEmpty() && !late) {
+        long nowMicros = core.now();
+        long delayMicros = deadlines.recordCheck(nowMicros);
+        core.limitTimes(deadlines.lastResponseMicros(), deadlines.lastRequestMicros());
+        stopListeningOnceDue(nowMicros, delayMicros);
+        closeConnectionsOnceDue(nowMicros);
+        endExchangesOnceDue(nowMicros);
+        completeOnceIdle(nowMicros);
+        deadlines.scheduleCheck(core.now() + CHECK_INTERVAL_MICROS);
+        loop.schedule(this::check, CHECK_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
+    }
+
+    /** If the loop is late there may be more to accept than one pass takes, and closing would reset that. */
+    private void stopListeningOnceDue(long nowMicros, long delayMicros) {
+        if (nowMicros >= deadlines.listenUntilMicros()
+                && !frontend.shared()
+                && frontend.backlogEmpty()
+                && delayMicros <= CHECK_INTERVAL_MICROS) {
             frontend.stopListening();
         }
-        if (now >= deadlines.lastRequest()) {
-            frontend.close(now >= deadlines.lastResponse());
+    }
+
+    private void closeConnectionsOnceDue(long nowMicros) {
+        if (nowMicros >= deadlines.lastRequestMicros()) {
+            frontend.close(nowMicros >= deadlines.lastResponseMicros());
         }
-        if (now >= deadlines.lastResponse()) {
+    }
+
+    private void endExchangesOnceDue(long nowMicros) {
+        if (nowMicros >= deadlines.lastResponseMicros()) {
             core.endAll();
         }
-        if (now >= deadlines.listenUntil() && core.idle() && frontend.clients() == 0 && completed.getCount() > 0) {
+    }
+
+    private void completeOnceIdle(long nowMicros) {
+        boolean idle = core.idle() && frontend.clients() == 0;
+        if (nowMicros >= deadlines.listenUntilMicros() && idle && completed.getCount() > 0) {
             core.reportBodies();
             completed.countDown();
         }
-        deadlines.scheduleCheck(core.now() + TimeUnit.MILLISECONDS.toMicros(CHECK_INTERVAL_MILLIS));
-        loop.schedule(this::check, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Waits until every response is out and all clients are disconnected; not to be called on the event loop. */
--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -50,7 +50,7 @@
     private final RequestMetrics metrics;
     private final PolicyEvents events;
     private final ExchangeTable exchanges;
-    private final UpstreamConnectionPool pool;
+    private final EndpointTable endpoints;
     private final DiscoveryClient discovery;
     private final DiscoveryMetrics discoveryMetrics = new DiscoveryMetrics();
     private final InitialListBarrier initialListBarrier;
@@ -87,10 +87,12 @@
         UpstreamContext context = new UpstreamContext(
                 loop, clock::now, settings, config.instanceSettings().reportNames(), bodies, budget, exchanges, log);
         int maxUpstreamConnections = (int) (UPSTREAM_SOCKET_SHARE * config.sockets());
-        this.pool = new UpstreamConnectionPool(context, transport, maxUpstreamConnections, metrics);
+        this.endpoints = new EndpointTable(transport);
+        UpstreamConnectionPool pool =
+                new UpstreamConnectionPool(context, transport, endpoints, maxUpstreamConnections, metrics);
         this.discovery =
                 new DiscoveryClient(loop, config, transport, clock::now, new ListReceiver(), log, discoveryMetrics);
-        this.cordons = new CordonRegistry(clock, events, pool, new CordonStore(cordonFile(config)), log);
+        this.cordons = new CordonRegistry(clock, events, endpoints, new CordonStore(cordonFile(config)), log);
         PolicyActions actions = new PolicyActions(loop, clock, settings, events, exchanges, pool, discovery, log);
         events.connect(policy.apply(actions), exchanges::endUnanswered);
     }
@@ -115,7 +117,7 @@
         initialListBarrier.start();
         events.deliver(() -> events.policy().start(now()));
         EndpointList known = config.known();
-        pool.update(known);
+        endpoints.update(known);
         events.deliver(() -> events.policy().endpointsUpdated(now(), ListKind.RESTORED, known.upstreams()));
         if (!settings.subscribesToEndpoints()) {
             discovery.watch(true);
@@ -130,7 +132,7 @@
         @Override
         public void listed(EndpointList list) {
             discoveryMetrics.count(DiscoveryMetrics.Event.LIST_ACCEPTED);
-            EndpointChanges changes = pool.update(list);
+            EndpointChanges changes = endpoints.update(list);
             log.state("endpoints: revision " + list.revision() + (list.complete() ? " complete: " : ": ") + changes);
             ListKind kind = list.complete() ? ListKind.COMPLETE : ListKind.CHANGES;
             events.deliver(() -> events.policy().endpointsUpdated(now(), kind, list.upstreams()));
@@ -211,8 +213,8 @@
 
     // ---- Graceful shutdown ---------------------------------------------------------------------------
 
-    /** The longest that clients wait for a response, in microseconds, as far as the platform waits for it. */
-    long longestDeadline() {
+    /** The longest that clients wait for a response, as far as the platform waits for it. */
+    long longestDeadlineMicros() {
         long longest = settings.classes().stream()
                 .mapToLong(LoadBalancingPolicy.RequestClass::clientTimeoutMicros)
                 .max()
@@ -220,9 +222,9 @@
         return Math.min(MAX_DEADLINE_MICROS, longest);
     }
 
-    /** No response is out later than {@code lastResponse}, and requests are rejected from {@code lastRequest} on. */
-    void limitTimes(long lastResponse, long lastRequest) {
-        exchanges.limitTimes(lastResponse, lastRequest);
+    /** No response is out after the first time, and requests are rejected from the second on. */
+    void limitTimes(long lastResponseMicros, long lastRequestMicros) {
+        exchanges.limitTimes(lastResponseMicros, lastRequestMicros);
     }
 
     /** Ends what is still open, just before the process is killed. */
--- a/src/main/java/sedgeyoke/proxy/ShutdownDeadlines.java
+++ b/src/main/java/sedgeyoke/proxy/ShutdownDeadlines.java
@@ -3,8 +3,8 @@
 /**
  * Computes the deadlines of a graceful shutdown, in microseconds of the policy's clock. SIGKILL comes a known time
  * after SIGTERM, but the process notices SIGTERM only once a thread of the JVM gets to run: 60 to 200 ms later where a
- * new configuration was just being read on half a core. All deadlines are therefore counted from the earliest time at
- * which the signal may have been sent, and the later the process was seen to run since, the more time before the kill
+ * new configuration is just being read on half a core. All deadlines are therefore counted from the earliest time at
+ * which the signal may have been sent, and the later a check has run since, the more time before the kill
  * is reserved.
  */
 final class ShutdownDeadlines {
@@ -36,29 +36,30 @@
         this.nextCheckMicros = signalTimeMicros;
     }
 
-    /** Says when {@link #checked} is due next. */
+    /** The next {@link #recordCheck} is due at this time. */
     void scheduleCheck(long timeMicros) {
         nextCheckMicros = timeMicros;
     }
 
-    /** Records that a check runs at {@code now}; returns how late it is. The worst delay enlarges the reserve. */
-    long checked(long now) {
-        worstDelayMicros = Math.max(worstDelayMicros, now - nextCheckMicros);
-        return now - nextCheckMicros;
+    /** Records that a check runs now; returns how late it is. The worst delay enlarges the reserve. */
+    long recordCheck(long nowMicros) {
+        long delayMicros = nowMicros - nextCheckMicros;
+        worstDelayMicros = Math.max(worstDelayMicros, delayMicros);
+        return delayMicros;
     }
 
     /** Until then new connections may arrive. */
-    long listenUntil() {
+    long listenUntilMicros() {
         return signalTimeMicros + LISTEN_MICROS;
     }
 
     /** From then on no request is accepted. */
-    long lastRequest() {
-        return Math.max(listenUntil(), lastResponse() - LAST_REQUEST_BUDGET_MICROS);
+    long lastRequestMicros() {
+        return Math.max(listenUntilMicros(), lastResponseMicros() - LAST_REQUEST_BUDGET_MICROS);
     }
 
     /** By then every response is out. */
-    long lastResponse() {
+    long lastResponseMicros() {
         return killTimeMicros - Math.max(MIN_RESERVE_MICROS, DELAY_RESERVE_FACTOR * worstDelayMicros);
     }
 }
--- a/src/main/java/sedgeyoke/proxy/UpstreamConnectionPool.java
+++ b/src/main/java/sedgeyoke/proxy/UpstreamConnectionPool.java
@@ -5,50 +5,47 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
-import sedgeyoke.policy.LoadBalancingPolicy.State;
 
 /**
- * The connections to upstreams: finds or opens one for each attempt, and limits their number and how long they are
- * idle. It never resends: each attempt is written once at most, and its outcome says whether it can have been executed.
- * Event loop only; times are microseconds of the policy's clock.
+ * The connections to upstreams: takes an idle one or opens one for each attempt, and limits their number and how long
+ * they are idle. It never resends: each attempt is written once at most, and its outcome says whether it can have been
+ * executed. Event loop only; times are microseconds of the policy's clock.
  */
 final class UpstreamConnectionPool {
-    /** Longest response where bodies are not streamed: on some days regular ones have a sixth of it. */
+    /** Longest response where bodies are not streamed: regular ones have a sixth of it at most. */
     static final int MAX_RESPONSE_BYTES = 512 * 1024;
     /** Share of the settings' idle time after which we close: upstreams may close sooner than they announce. */
     private static final double IDLE_TIME_SHARE = 0.6;
 
-    private static final long CLOSE_IDLE_INTERVAL_MILLIS = 500;
+    private static final long CLOSE_IDLE_INTERVAL_MICROS = 500_000;
     /**
      * A connection is used again only after this time: a second response to one request may follow some milliseconds
      * after the first, and would be taken for the response to the next request.
      */
     private static final long MIN_IDLE_MICROS = 10_000;
     /** Between a connect that failed by a fault of this machine and the next attempt. */
-    private static final long LOCAL_FAULT_PAUSE_MILLIS = 50;
+    private static final long LOCAL_FAULT_PAUSE_MICROS = 50_000;
     /** If the event loop is later than that, what has arrived meanwhile is read before a request is written. */
     private static final long MAX_LOOP_DELAY_MICROS = 100_000;
 
     private final UpstreamContext context;
-    private final Transport transport;
     private final RequestMetrics metrics;
     private final int maxConnections;
     private final long maxIdleMicros;
     private final Bootstrap bootstrap;
-    private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
-    private CordonSet cordons = CordonSet.EMPTY;
+    private final EndpointTable endpoints;
     private int connections;
 
-    UpstreamConnectionPool(UpstreamContext context, Transport transport, int maxConnections, RequestMetrics metrics) {
+    UpstreamConnectionPool(
+            UpstreamContext context,
+            Transport transport,
+            EndpointTable endpoints,
+            int maxConnections,
+            RequestMetrics metrics) {
         this.context = context;
-        this.transport = transport;
+        this.endpoints = endpoints;
         this.metrics = metrics;
         this.maxConnections = maxConnections;
         this.maxIdleMicros =
@@ -59,92 +56,18 @@
         context.loop()
                 .scheduleWithFixedDelay(
                         this::closeIdleTooLong,
-                        CLOSE_IDLE_INTERVAL_MILLIS,
-                        CLOSE_IDLE_INTERVAL_MILLIS,
-                        TimeUnit.MILLISECONDS);
+                        CLOSE_IDLE_INTERVAL_MICROS,
+                        CLOSE_IDLE_INTERVAL_MICROS,
+                        TimeUnit.MICROSECONDS);
     }
 
-    // ---- Upstreams -----------------------------------------------------------------------------------
-
-    /** Takes over an endpoint list, before the policy is notified of it; returns what has changed. */
-    EndpointChanges update(EndpointList list) {
-        EndpointChanges changes = new EndpointChanges();
-        if (list.complete()) {
-            removeUnlisted(list, changes);
-        }
-        for (EndpointList.Member member : list.members()) {
-            if (member.upstream().state() == State.REMOVED) {
-                remove(member.upstream().id(), changes);
-            } else {
-                update(member, changes);
-            }
-        }
-        return changes;
-    }
-
-    private void update(EndpointList.Member member, EndpointChanges changes) {
-        String id = member.upstream().id();
-        UpstreamEndpoint endpoint = endpoints.get(id);
-        boolean known = endpoint != null;
-        if (!known) {
-            endpoint = new UpstreamEndpoint();
-            endpoints.put(id, endpoint);
-        }
-        boolean wasReady = endpoint.isReady();
-        if (known && endpoint.launchTimeMicros() != member.upstream().launchedAtMicros()) {
-            changes.restarted(id);
-        }
-        endpoint.update(
-                transport.at(member.address()),
-                member.upstream().launchedAtMicros(),
-                member.upstream().state() == State.READY);
-        endpoint.updateReadiness(cordons.contains(id));
-        if (endpoint.isReady() && !wasReady) {
-            changes.ready(id);
-        } else if (!endpoint.isReady() && (wasReady || !known)) {
-            changes.notReady(id);
-        }
-    }
-
-    private void removeUnlisted(EndpointList list, EndpointChanges changes) {
-        Set<String> listed = new HashSet<>();
-        list.members().forEach(member -> listed.add(member.upstream().id()));
-        List.copyOf(endpoints.keySet()).stream()
-                .filter(id -> !listed.contains(id))
-                .forEach(id -> remove(id, changes));
-    }
-
-    /** Ids of upstreams are never used again, so that the table would grow without limit if they stayed in it. */
-    private void remove(String upstream, EndpointChanges changes) {
-        UpstreamEndpoint endpoint = endpoints.remove(upstream);
-        if (endpoint != null) {
-            endpoint.retire();
-            changes.removed(upstream);
-        }
-    }
-
-    /** Takes over which upstreams operators have cordoned, before the policy is notified of it. */
-    void updateCordons(CordonSet changed) {
-        cordons = changed;
-        endpoints.forEach((id, endpoint) -> endpoint.updateReadiness(cordons.contains(id)));
-    }
-
-    /** Whether the endpoint list has such an upstream. */
-    boolean knows(String upstream) {
-        return endpoints.containsKey(upstream);
-    }
-
-    /** Closes the idle connections to an upstream, if it is known. */
+    /** Closes the idle connections to an upstream, if it is listed. */
     void closeIdle(String upstream) {
-        UpstreamEndpoint endpoint = endpoints.get(upstream);
-        if (endpoint != null) {
-            endpoint.closeIdle();
-        }
+        endpoints.closeIdle(upstream);
     }
 
     private void closeIdleTooLong() {
-        long now = context.now();
-        endpoints.values().forEach(endpoint -> endpoint.closeIdleLongerThan(maxIdleMicros, now));
+        endpoints.closeIdleLongerThan(maxIdleMicros, context.now());
     }
 
     // ---- Attempts ------------------------------------------------------------------------------------
@@ -152,7 +75,7 @@
     /** Starts an attempt on the connection used last, or on a new one. Its end may be reported before this returns. */
     void start(Attempt attempt) {
         UpstreamEndpoint endpoint = endpoints.get(attempt.upstream);
-        WithheldReason reason = endpoint == null ? WithheldReason.NOT_LISTED : withheldReason(endpoint, attempt);
+        WithheldReason reason = withheldReason(endpoint, attempt);
         if (reason != null) {
             withhold(attempt, reason);
             return;
@@ -168,8 +91,8 @@
     }
 
     private void connect(UpstreamEndpoint endpoint, Attempt attempt) {
-        if (connections >= maxConnections && !closeOldestIdle()) {
-            // All sockets are busy: the upstream gets nothing of the request, as if it had rejected it.
+        if (connections >= maxConnections && !endpoints.closeOldestIdle()) {
+            // All sockets are in use: the upstream gets nothing of the request, as if it had rejected it.
             end(attempt, Outcome.REJECTED);
             return;
         }
@@ -202,7 +125,7 @@
         if (!connected.isSuccess()) {
             connectFailed(attempt, connected.cause());
         } else if (attempt.ended) {
-            connection.release(); // nothing was sent, so the connection is as good as new
+            connection.release(); // nothing was sent, so the connection can carry another attempt
         } else if (!connection.isAtCurrentAddress()) {
             // The upstream has moved while the connection came up; another one may be at that address by now.
             connection.close();
@@ -221,32 +144,14 @@
             context.loop()
                     .schedule(
                             () -> withhold(attempt, WithheldReason.NO_LOCAL_SOCKET),
-                            LOCAL_FAULT_PAUSE_MILLIS,
-                            TimeUnit.MILLISECONDS);
-        }
-    }
-
-    private boolean closeOldestIdle() {
-        UpstreamEndpoint oldest = null;
-        for (UpstreamEndpoint endpoint : endpoints.values()) {
-            if (endpoint.hasIdle()
-                    && (oldest == null || endpoint.oldestIdleSinceMicros() < oldest.oldestIdleSinceMicros())) {
-                oldest = endpoint;
-            }
+                            LOCAL_FAULT_PAUSE_MICROS,
+                            TimeUnit.MICROSECONDS);
         }
-        if (oldest == null) {
-            return false;
-        }
-        oldest.closeOldestIdle();
-        return true;
     }
 
     /** Checks once more that the attempt may go out, as time may have passed while the connection came up. */
     private void send(UpstreamConnection connection, Attempt attempt) {
-        if (!attempt.deferredUntilRead && context.listener().loopDelayMicros() > MAX_LOOP_DELAY_MICROS) {
-            // What arrived while the loop was late is read before this runs again: the client may have disconnected.
-            attempt.deferredUntilRead = true;
-            context.loop().schedule(() -> send(connection, attempt), 0, TimeUnit.MICROSECONDS);
+        if (deferIfLoopIsLate(connection, attempt)) {
             return;
         }
         WithheldReason reason = withheldReason(connection.endpoint(), attempt);
@@ -255,25 +160,49 @@
             withhold(attempt, reason);
             return;
         }
-        connection.send(attempt, leftMillis(attempt));
+        connection.send(attempt, remainingMillis(attempt));
     }
 
     /**
-     * Why an attempt must not be written now; null if it may be. Nothing is written to an upstream that is known not to
-     * be ready: the grace period of a drain counts from when discovery has it, and is for the time in which we do not.
+     * Puts an attempt off once if the event loop is late; returns whether it did. What arrived meanwhile is read before
+     * the attempt is sent then: the client may have disconnected.
+     */
+    private boolean deferIfLoopIsLate(UpstreamConnection connection, Attempt attempt) {
+        if (attempt.deferredUntilRead || context.listener().loopDelayMicros() <= MAX_LOOP_DELAY_MICROS) {
+            return false;
+        }
+        attempt.deferredUntilRead = true;
+        context.loop().schedule(() -> send(connection, attempt), 0, TimeUnit.MICROSECONDS);
+        return true;
+    }
+
+    /**
+     * Why an attempt must not be written now; null if it may be.
+     *
+     * @param endpoint the attempt's upstream; null if the endpoint list does not have it
      */
     private WithheldReason withheldReason(UpstreamEndpoint endpoint, Attempt attempt) {
+        if (endpoint == null) {
+            return WithheldReason.NOT_LISTED;
+        }
         if (attempt.ended || attempt.exchange.answered) {
             return WithheldReason.EXCHANGE_OVER;
-        } else if (!endpoint.isReady()) {
+        }
+        if (!endpoint.isReady()) {
+            // The grace period of a drain is for the time in which discovery has it and this process does not.
             return WithheldReason.UPSTREAM_NOT_READY;
-        } else if (leftMillis(attempt) <= 0) {
+        }
+        if (remainingMillis(attempt) <= 0) {
             return WithheldReason.NO_TIME_LEFT;
         }
-        return context.now() >= attempt.resendDeadlineMicros ? WithheldReason.KEY_MAY_BE_FORGOTTEN : null;
+        if (context.now() >= attempt.resendDeadlineMicros) {
+            return WithheldReason.KEY_MAY_BE_FORGOTTEN;
+        }
+        return null;
     }
 
-    private long leftMillis(Attempt attempt) {
+    /** What is left until the attempt's deadline, in whole milliseconds, as the request states it. */
+    private long remainingMillis(Attempt attempt) {
         return (attempt.deadlineMicros - context.now()) / 1_000;
     }
 
--- a/src/test/java/sedgeyoke/proxy/GracefulShutdownTest.java
+++ b/src/test/java/sedgeyoke/proxy/GracefulShutdownTest.java
@@ -39,13 +39,13 @@
                     continue;
                 }
                 for (; unread <= now && !closed; unread += 5 * MS) { // what has come is read before timers run
-                    if (now < deadlines.lastRequest()) {
+                    if (now < deadlines.lastRequestMicros()) {
                         open.add(unread); // else it is refused at once
                     }
                 }
-                deadlines.checked(now);
-                closed |= now >= deadlines.lastRequest();
-                if (now >= deadlines.lastResponse()) {
+                deadlines.recordCheck(now);
+                closed |= now >= deadlines.lastRequestMicros();
+                if (now >= deadlines.lastResponseMicros()) {
                     open.clear();
                 }
                 due = now + 5 * MS;
@@ -77,11 +77,12 @@
     @Test
     void aLateLoopEnlargesTheReserve() {
         ShutdownDeadlines deadlines = new ShutdownDeadlines(0, DEADLINE);
-        long before = deadlines.lastResponse();
+        long before = deadlines.lastResponseMicros();
         deadlines.scheduleCheck(10 * MS);
-        deadlines.checked(210 * MS);
-        assertTrue(deadlines.lastResponse() < before);
-        assertTrue(deadlines.lastRequest() >= deadlines.listenUntil(), "connections that may come are served");
+        deadlines.recordCheck(210 * MS);
+        assertTrue(deadlines.lastResponseMicros() < before);
+        assertTrue(
+                deadlines.lastRequestMicros() >= deadlines.listenUntilMicros(), "connections that may come are served");
     }
 
     /** The same on sockets: a loop that is paused for 100 ms at each 20 ms of the last half second. */
