--- a/src/main/java/sedgeyoke/proxy/BalancerConfig.java
+++ b/src/main/java/sedgeyoke/proxy/BalancerConfig.java
@@ -26,23 +26,24 @@
  * @param name the balancer's name
  * @param listen where clients connect
  * @param discovery where endpoint lists are fetched
- * @param ops the address of the admin endpoint, null where the platform has none (DAYS, "In operation")
- * @param folder a folder that the processes of one balancer share during an upgrade, null for none
+ * @param adminAddress the address of the admin endpoint, null where the platform has none; the platform's key is
+ *     {@code ops}
+ * @param sharedFolder a folder that the processes of one balancer share during an upgrade, null for none
  * @param seed seeds all random choices
  * @param sockets how many sockets the process may open
  * @param instanceSettings the settings, with the names that their indices stand for
- * @param known the endpoint list to start with
+ * @param configuredEndpoints the endpoint list to start with; the platform's key is {@code known}
  */
 public record BalancerConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
-        InetSocketAddress ops,
-        Path folder,
+        InetSocketAddress adminAddress,
+        Path sharedFolder,
         long seed,
         int sockets,
         SettingsReader.InstanceSettings instanceSettings,
-        EndpointList known) {
+        EndpointList configuredEndpoints) {
 
     static final JsonMapper JSON = new JsonMapper();
     private static final int MIN_SOCKETS = 128;
@@ -70,21 +71,28 @@
      * @param shared the folder that the processes of one balancer share; null or empty for none
      */
     BalancerConfig with(String address, String shared) throws InvalidConfigException {
-        InetSocketAddress adminAddress = ops;
-        if (ops == null && address != null && !address.isEmpty()) {
-            adminAddress = IpAddress.parse(address);
-            if (adminAddress == null) {
+        InetSocketAddress changedAddress = adminAddress;
+        if (adminAddress == null && address != null && !address.isEmpty()) {
+            changedAddress = IpAddress.parse(address);
+            if (changedAddress == null) {
                 throw new InvalidConfigException("BALANCER_OPS", "BALANCER_OPS is malformed: " + address);
             }
         }
-        Path sharedFolder = shared == null || shared.isEmpty() ? null : Path.of(shared);
         return new BalancerConfig(
-                name, listen, discovery, adminAddress, sharedFolder, seed, sockets, instanceSettings, known);
+                name,
+                listen,
+                discovery,
+                changedAddress,
+                shared == null || shared.isEmpty() ? null : Path.of(shared),
+                seed,
+                sockets,
+                instanceSettings,
+                configuredEndpoints);
     }
 
     /** Limits on bodies. Long ones are streamed where there is an admin endpoint: one deployment brings both. */
     public BodyLimits bodies() {
-        return ops == null ? BodyLimits.PLATFORM : BodyLimits.OPERATED;
+        return adminAddress == null ? BodyLimits.PLATFORM : BodyLimits.OPERATED;
     }
 
     /**
@@ -92,18 +100,18 @@
      */
     List<String> needRestart(BalancerConfig other) {
         List<String> fields = new ArrayList<>();
-        Map<String, Function<BalancerConfig, Object>> fixed = new TreeMap<>(Map.of(
+        Map<String, Function<BalancerConfig, Object>> fixedFields = new TreeMap<>(Map.of(
                 "name",
                 BalancerConfig::name,
                 "listen",
                 BalancerConfig::listen,
                 "ops",
-                c -> String.valueOf(c.ops()),
+                changed -> String.valueOf(changed.adminAddress()),
                 "limits.sockets",
                 BalancerConfig::sockets,
                 "settings",
                 BalancerConfig::instanceSettings));
-        fixed.forEach((field, value) -> {
+        fixedFields.forEach((field, value) -> {
             if (!value.apply(this).equals(value.apply(other))) {
                 fields.add(field);
             }
@@ -118,9 +126,9 @@
         int sockets = root.path("limits").path("sockets").asInt(0);
         require(sockets >= MIN_SOCKETS, "limits.sockets (at least " + MIN_SOCKETS + ")");
         require(root.path("name").isTextual(), "name");
-        EndpointList known;
+        EndpointList configuredEndpoints;
         try {
-            known = root.path("known").isMissingNode()
+            configuredEndpoints = root.path("known").isMissingNode()
                     ? EndpointList.EMPTY
                     : EndpointList.read(root.path("known"), instanceSettings);
         } catch (InvalidEndpointListException e) {
@@ -135,7 +143,7 @@
                 seed(root),
                 sockets,
                 instanceSettings,
-                known);
+                configuredEndpoints);
     }
 
     private static SettingsReader.InstanceSettings readSettings(JsonNode node)
--- a/src/main/java/sedgeyoke/proxy/BalancerServer.java
+++ b/src/main/java/sedgeyoke/proxy/BalancerServer.java
@@ -74,7 +74,7 @@
 
     /** Binds the admin endpoint; null if the configuration has none. Any thread. */
     public ChannelFuture bindAdminEndpoint() {
-        return config.ops() == null ? null : adminServer.bind(config.ops());
+        return config.adminAddress() == null ? null : adminServer.bind(config.adminAddress());
     }
 
     /** What the admin endpoint serves; on the event loop. */
--- a/src/main/java/sedgeyoke/proxy/DiscoveryClient.java
+++ b/src/main/java/sedgeyoke/proxy/DiscoveryClient.java
@@ -99,10 +99,11 @@
         this.timings = DiscoveryTimings.of(
                 config.instanceSettings().settings(),
                 pushed,
-                config.known().members().size());
+                config.configuredEndpoints().members().size());
         this.silenceMicros = timings.firstSilenceMicros();
-        boolean completeListNeeded = pushed || config.known().members().isEmpty();
-        this.revisions = new RevisionTracker(config.known().revision(), completeListNeeded);
+        boolean completeListNeeded =
+                pushed || config.configuredEndpoints().members().isEmpty();
+        this.revisions = new RevisionTracker(config.configuredEndpoints().revision(), completeListNeeded);
         this.overdueAnswer = new OverdueAnswer(loop);
         this.withoutWait = true; // the configured list may be old: what has changed since must not wait
         this.hasList = !completeListNeeded; // clients need not wait for an answer without changes
--- a/src/main/java/sedgeyoke/proxy/JitWarmUp.java
+++ b/src/main/java/sedgeyoke/proxy/JitWarmUp.java
@@ -37,7 +37,7 @@
     static final int MIN_REQUESTS = 30;
     /**
      * Upstreams for each balancer, divided by the shortest latency objective in seconds, from which the start waits
-     * for compiled code. Both grow with the rate of requests. Below that, interpreted code keeps up while the JVM
+     * for compiled code. Both grow with the rate of requests. Below that, interpreted code is fast enough while the JVM
      * compiles it, and a start in half the time is better where most of a large fleet starts at once.
      */
     private static final double HIGH_LOAD = 12;
@@ -51,6 +51,9 @@
     /** Of so many responses of the upstreams one is a rejection, one a failure, and the others succeed. */
     private static final int RESPONSES_IN_CYCLE = 20;
 
+    /** Between the requests of one client. */
+    private static final long PAUSE_MICROS = 3_000;
+
     private static final int BUDGET_MILLIS = 2_000;
     /** The longest time for the warm-up. */
     public static final long TIMEOUT_SECONDS = 4;
@@ -80,7 +83,7 @@
                 + String.join(
                         ",",
                         config.instanceSettings().reportNames().stream()
-                                .map(n -> "\"" + n + "\":0.5")
+                                .map(name -> "\"" + name + "\":0.5")
                                 .toList())
                 + "}";
     }
@@ -88,12 +91,13 @@
     /** The number of requests to serve before a balancer with that configuration listens. */
     public static int requests(BalancerConfig config) {
         LoadBalancingPolicy.Settings settings = config.instanceSettings().settings();
-        long aim = settings.classes().stream()
+        long shortestObjectiveMicros = settings.classes().stream()
                 .mapToLong(LoadBalancingPolicy.RequestClass::latencyObjectiveMicros)
                 .min()
                 .orElse(0);
-        double load = config.known().members().size() * 1e6 / (Math.max(1, aim) * (double) settings.groupSize());
-        return config.known().members().isEmpty() || load >= HIGH_LOAD ? MAX_REQUESTS : MIN_REQUESTS;
+        int upstreams = config.configuredEndpoints().members().size();
+        double load = upstreams * 1e6 / (Math.max(1, shortestObjectiveMicros) * (double) settings.groupSize());
+        return upstreams == 0 || load >= HIGH_LOAD ? MAX_REQUESTS : MIN_REQUESTS;
     }
 
     /** Runs the warm-up; returns when all requests are answered, or after the timeout. */
@@ -127,10 +131,10 @@
     }
 
     private void start() {
-        config.known().members().forEach(m -> serve(m.address(), Upstream::new));
+        config.configuredEndpoints().members().forEach(member -> serve(member.address(), Upstream::new));
         serve(config.discovery(), Discovery::new);
-        ProxyCore node = new ProxyCore(loop, config, Transport.INSIDE, bodies);
-        new BalancerServer(loop, config, node, Transport.INSIDE, bodies).bind();
+        ProxyCore core = new ProxyCore(loop, config, Transport.INSIDE, bodies);
+        new BalancerServer(loop, config, core, Transport.INSIDE, bodies).bind();
         Bootstrap client = Transport.INSIDE.client(loop).handler(pipeline(Client::new));
         for (int i = 0; i < CLIENTS; i++) {
             client.connect(Transport.INSIDE.at(config.listen()));
@@ -150,14 +154,14 @@
         };
     }
 
-    private static ByteBuf bytes(String head, int body) {
-        return Unpooled.wrappedBuffer(head.getBytes(StandardCharsets.US_ASCII), new byte[body]);
+    private static ByteBuf message(String head, int bodyBytes) {
+        return Unpooled.wrappedBuffer(head.getBytes(StandardCharsets.US_ASCII), new byte[bodyBytes]);
     }
 
-    private static String list(List<EndpointList.Member> known) {
-        List<String> members = known.stream()
-                .map(m -> "{\"id\":\"" + m.upstream().id() + "\",\"host_port\":\"127.0.0.1:"
-                        + m.address().getPort() + "\",\"phase\":\"up\"}")
+    private static String listBody(List<EndpointList.Member> listed) {
+        List<String> members = listed.stream()
+                .map(member -> "{\"id\":\"" + member.upstream().id() + "\",\"host_port\":\"127.0.0.1:"
+                        + member.address().getPort() + "\",\"phase\":\"up\"}")
                 .toList();
         return "{\"revision\":1,\"complete\":true,\"members\":[" + String.join(",", members) + "]}";
     }
@@ -170,8 +174,9 @@
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf request) {
             if (!listSent) {
                 listSent = true;
-                String list = list(config.known().members());
-                ctx.writeAndFlush(bytes("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list, 0));
+                String list = listBody(config.configuredEndpoints().members());
+                ctx.writeAndFlush(
+                        message("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list, 0));
             }
         }
     }
@@ -184,7 +189,7 @@
                 return; // only a head: the zeros of the body follow
             }
             int position = handledByUpstreams++ % RESPONSES_IN_CYCLE;
-            ctx.writeAndFlush(bytes(
+            ctx.writeAndFlush(message(
                     (position == 0
                                     ? "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1"
                                     : position == 1 ? "HTTP/1.1 500 Internal Server Error" : "HTTP/1.1 200 OK")
@@ -202,24 +207,24 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf answer) {
-            if (answer.getByte(answer.readerIndex()) != 'H') {
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf response) {
+            if (response.getByte(response.readerIndex()) != 'H') {
                 return; // the rest of a response
             }
             answers.countDown();
-            served += answer.toString(answer.readerIndex(), STATUS_LINE.length(), StandardCharsets.US_ASCII)
+            served += response.toString(response.readerIndex(), STATUS_LINE.length(), StandardCharsets.US_ASCII)
                             .equals(STATUS_LINE)
                     ? 1
                     : 0;
             if (sent < requests) {
                 // Not at once: a connection to an upstream is not used again immediately.
-                loop.schedule(() -> send(ctx), 3, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> send(ctx), PAUSE_MICROS, TimeUnit.MICROSECONDS);
             }
         }
 
         private void send(ChannelHandlerContext ctx) {
             int number = sent++;
-            ctx.writeAndFlush(bytes(
+            ctx.writeAndFlush(message(
                     "POST /api?obj=k" + number % 100 + " HTTP/1.1\r\nHost: x\r\nX-Call-Id: warm-"
                             + number + "\r\nX-Call-Class: " + classes.get(number % classes.size())
                             + "\r\nX-Budget-Ms: " + BUDGET_MILLIS
--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -99,10 +99,11 @@
 
     /** The file that the processes of one balancer share during an upgrade; null where there is no admin endpoint. */
     private static Path cordonFile(BalancerConfig config) {
-        if (config.ops() == null || config.folder() == null) {
+        if (config.adminAddress() == null || config.sharedFolder() == null) {
             return null;
         }
-        return config.folder().resolve("sedgeyoke-cordons-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
+        return config.sharedFolder()
+                .resolve("sedgeyoke-cordons-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
     }
 
     /**
@@ -116,13 +117,13 @@
         started = true;
         initialListBarrier.start();
         events.deliver(() -> events.policy().start(now()));
-        EndpointList known = config.known();
-        endpoints.update(known);
-        events.deliver(() -> events.policy().endpointsUpdated(now(), ListKind.RESTORED, known.upstreams()));
+        EndpointList configured = config.configuredEndpoints();
+        endpoints.update(configured);
+        events.deliver(() -> events.policy().endpointsUpdated(now(), ListKind.RESTORED, configured.upstreams()));
         if (!settings.subscribesToEndpoints()) {
             discovery.watch(true);
         }
-        if (config.ops() != null) {
+        if (config.adminAddress() != null) {
             cordons.start(loop);
         }
     }
@@ -153,16 +154,16 @@
     void reload(BalancerConfig changed) {
         List<String> fieldsThatNeedRestart = config.needRestart(changed);
         if (!fieldsThatNeedRestart.isEmpty()) {
-            log.line("reload: changes to " + String.join(", ", fieldsThatNeedRestart)
-                    + " are ignored until a restart");
+            log.line("reload: changes to " + String.join(", ", fieldsThatNeedRestart) + " are ignored until a restart");
         }
         log.line("reload: discovery at " + changed.discovery());
         discovery.moveTo(changed.discovery());
     }
 
-    /** Whether clients may be taken: discovery has answered, or the configured list has to do. */
+    /** Whether to accept clients: discovery has answered, or its time is over and the configured list is used. */
     boolean ready() {
-        return discovery.hasList() || !config.known().members().isEmpty() && initialListBarrier.isReleased();
+        return discovery.hasList()
+                || !config.configuredEndpoints().members().isEmpty() && initialListBarrier.isReleased();
     }
 
     // ---- For the frontend ----------------------------------------------------------------------------
--- a/src/main/java/sedgeyoke/serve/BalancerMain.java
+++ b/src/main/java/sedgeyoke/serve/BalancerMain.java
@@ -80,7 +80,7 @@
         }
         ChannelFuture adminEndpoint = server.bindAdminEndpoint();
         if (adminEndpoint != null && !adminEndpoint.await().isSuccess()) {
-            fail("cannot listen for operators on " + config.ops() + ": "
+            fail("cannot listen for operators on " + config.adminAddress() + ": "
                     + adminEndpoint.cause().getMessage());
         }
         try {
