--- a/src/main/java/sedgeyoke/proxy/CordonRegistry.java
+++ b/src/main/java/sedgeyoke/proxy/CordonRegistry.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import sedgeyoke.policy.LoadBalancingPolicy;
 
 /**
  * The upstreams that operators have taken out of service: at this balancer's admin endpoint, or for the whole fleet in
@@ -78,6 +79,7 @@
         CordonSet all = local.cordons().union(fleetWide);
         log.line("cordons: " + (all.isEmpty() ? "none" : String.join(" ", all.ids())));
         endpoints.updateCordons(all); // first: nothing may be written to these upstreams once the policy reacts
-        events.deliver(() -> events.policy().cordonsUpdated(clock.now(), all.sinceMicrosById()));
+        LoadBalancingPolicy.Cordons cordons = LoadBalancingPolicy.Cordons.of(all.sinceMicrosById());
+        events.deliver(() -> events.policy().cordonsUpdated(clock.now(), cordons));
     }
 }
--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -146,7 +146,7 @@
 
         @Override
         public void unavailable() {
-            events.deliver(() -> events.policy().endpointsUpdated(now(), ListKind.UNAVAILABLE, List.of()));
+            events.deliver(() -> events.policy().endpointsUnavailable(now()));
         }
     }
 
