--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/AttemptProgress.java
@@ -0,0 +1,205 @@
+package sedgeyoke.proxy;
+
+import java.util.List;
+import sedgeyoke.body.PartialRequestPolicy;
+import sedgeyoke.policy.LoadBalancingPolicy;
+import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
+import sedgeyoke.policy.LoadBalancingPolicy.Settings;
+
+/**
+ * Follows each attempt from the connection pool to its one end, notifies the policy, and hands the first successful
+ * response to {@link ExchangeCompletion}. Event loop only; times are microseconds of the policy's clock.
+ */
+final class AttemptProgress implements AttemptListener {
+    private final PolicyClock clock;
+    private final Settings settings;
+    private final PolicyEvents events;
+    private final RequestMetrics metrics;
+    private final ExchangeTable table;
+    private final ExchangeDeadlines deadlines;
+    private final ExchangeCompletion completion;
+
+    AttemptProgress(
+            PolicyClock clock,
+            Settings settings,
+            PolicyEvents events,
+            RequestMetrics metrics,
+            ExchangeTable table,
+            ExchangeDeadlines deadlines,
+            ExchangeCompletion completion) {
+        this.clock = clock;
+        this.settings = settings;
+        this.events = events;
+        this.metrics = metrics;
+        this.table = table;
+        this.deadlines = deadlines;
+        this.completion = completion;
+    }
+
+    // ---- Ending attempts early -----------------------------------------------------------------------
+
+    /** Ends the attempts of an exchange whose time is over; see {@link #timeOut}. */
+    void timeOutAll(Exchange exchange) {
+        List.copyOf(exchange.attempts).forEach(this::timeOut);
+    }
+
+    /** Ends an attempt whose time is over, unless its response is being streamed: that has limits of its own. */
+    void timeOut(Attempt attempt) {
+        if (!attempt.ended && !attempt.responseStreaming) {
+            stop(attempt, AttemptOutcomes.afterTimeout(attempt));
+        }
+    }
+
+    /** Ends an attempt that has not ended; its connection is closed if its request was written to one. */
+    void stop(Attempt attempt, Outcome outcome) {
+        UpstreamConnection connection = attempt.connection;
+        if (connection != null && connection.carries(attempt)) {
+            connection.stop(outcome);
+        } else {
+            ended(attempt, outcome, null);
+        }
+    }
+
+    // ---- Progress ------------------------------------------------------------------------------------
+
+    @Override
+    public ResponseStream.Sink responseStreaming(
+            Attempt attempt, ResponseStream.Head head, ResponseStream.Source source) {
+        Exchange exchange = attempt.exchange;
+        if (exchange.answered || attempt.ended) {
+            return null;
+        }
+        completion.markStreaming(exchange);
+        attempt.responseStreaming = true;
+        makeLastAttempt(attempt);
+        responseStarted(attempt);
+        return exchange.reply.begin(head, source);
+    }
+
+    @Override
+    public void requestStreaming(Attempt attempt) {
+        makeLastAttempt(attempt);
+        notifyTransfer(attempt);
+    }
+
+    /** There will be no further attempt, and neither the attempt's timeout nor the deadline ends this one. */
+    private void makeLastAttempt(Attempt attempt) {
+        Exchange exchange = attempt.exchange;
+        if (exchange.streamingAttempt == null) {
+            exchange.streamingAttempt = attempt;
+            events.deliver(exchange, () -> events.policy()
+                    .responseStarted(clock.now(), exchange.request.id(), attempt.number));
+        }
+    }
+
+    @Override
+    public void responseStarted(Attempt attempt) {
+        if (attempt.responseStartTimeMicros == 0) {
+            attempt.responseStartTimeMicros = clock.now();
+            notifyTransfer(attempt);
+        }
+    }
+
+    private void notifyTransfer(Attempt attempt) {
+        Exchange exchange = attempt.exchange;
+        events.deliver(
+                exchange, () -> events.policy().transferStarted(clock.now(), exchange.request.id(), attempt.number));
+    }
+
+    @Override
+    public void requestWritten(Attempt attempt) {
+        attempt.written = true;
+        metrics.attempted(attempt.exchange.request.classIndex());
+    }
+
+    @Override
+    public void requestBodyComplete(Attempt attempt) {
+        Exchange exchange = attempt.exchange;
+        attempt.requestCompleteTimeMicros = clock.now();
+        if (!exchange.answered && exchange.deadlineTimer != null) {
+            deadlines.restartAfterUpload(exchange);
+        }
+    }
+
+    @Override
+    public long loopDelayMicros() {
+        return clock.loopDelayMicros();
+    }
+
+    // ---- End -----------------------------------------------------------------------------------------
+
+    /** The first complete and successful response goes to the client; then the policy is notified of the outcome. */
+    @Override
+    public void ended(Attempt attempt, Outcome outcome, UpstreamResponse response) {
+        if (attempt.ended) {
+            return;
+        }
+        attempt.ended = true;
+        metrics.attemptEnded(outcome);
+        attempt.mayHaveRun = !outcome.neverRan;
+        if (attempt.timeoutTimer != null) {
+            attempt.timeoutTimer.cancel(false);
+        }
+        Exchange exchange = attempt.exchange;
+        if (outcome == Outcome.OK && response != null) {
+            completion.serve(exchange, response);
+        } else if (attempt.responseStreaming) {
+            completion.streamEnded(
+                    exchange, outcome == Outcome.OK ? RequestMetrics.End.SERVED : RequestMetrics.End.FAILED);
+        }
+        endIfBodyIsPartial(attempt, outcome);
+        notifyOutcome(attempt, outcome, response);
+        table.removeIfDone(exchange);
+    }
+
+    /** Ends the exchange if its request body was forwarded in part, so that no further attempt can send it. */
+    private void endIfBodyIsPartial(Attempt attempt, Outcome outcome) {
+        Exchange exchange = attempt.exchange;
+        LoadBalancingPolicy.RequestClass requestClass = classOf(exchange);
+        PartialRequestPolicy.Next next = PartialRequestPolicy.after(
+                requestClass.effect(), requestClass.scope(), exchange.body.state(attempt.written), outcome);
+        if (next == PartialRequestPolicy.Next.REJECT) {
+            attempt.mayHaveRun = false;
+            completion.reject(exchange, RejectionReason.BODY_NOT_REPEATABLE);
+        } else if (next == PartialRequestPolicy.Next.FAIL) {
+            completion.fail(exchange);
+        }
+    }
+
+    private void notifyOutcome(Attempt attempt, Outcome outcome, UpstreamResponse response) {
+        Exchange exchange = attempt.exchange;
+        // The delay of our own loop is deducted: the policy would take it for load of the upstream and send less.
+        long endMicros = attempt.responseStartTimeMicros > 0 ? attempt.responseStartTimeMicros : clock.now();
+        long latencyMicros = Math.max(0, endMicros - attempt.requestCompleteTimeMicros - loopDelayMicros());
+        LoadBalancingPolicy.AttemptEnd end = new LoadBalancingPolicy.AttemptEnd(
+                exchange.request.id(),
+                attempt.number,
+                attempt.upstream,
+                outcome,
+                latencyMicros,
+                exchange.answered,
+                response == null ? null : response.load());
+        events.deliver(exchange, () -> events.policy().attemptEnded(clock.now(), end));
+    }
+
+    /**
+     * Until when a further attempt may go out: upstreams recognise the repeat of an idempotency key only as long as
+     * they remember the first attempt that may have run. The policy checks that when it chooses, but a connection may
+     * take its time to come up. {@link Long#MAX_VALUE} without a key.
+     */
+    long resendDeadlineMicros(Exchange exchange) {
+        LoadBalancingPolicy.RequestClass requestClass = classOf(exchange);
+        if (requestClass.effect() != LoadBalancingPolicy.Effect.IDEMPOTENT_WITH_KEY) {
+            return Long.MAX_VALUE;
+        }
+        return exchange.attempts.stream()
+                .filter(attempt -> attempt.mayHaveRun)
+                .mapToLong(attempt -> attempt.startTimeMicros + requestClass.deduplicationWindowMicros())
+                .min()
+                .orElse(Long.MAX_VALUE);
+    }
+
+    private LoadBalancingPolicy.RequestClass classOf(Exchange exchange) {
+        return settings.classes().get(exchange.request.classIndex());
+    }
+}
--- a/src/main/java/sedgeyoke/proxy/ClientConnectionCloser.java
+++ b/src/main/java/sedgeyoke/proxy/ClientConnectionCloser.java
@@ -1,6 +1,5 @@
 package sedgeyoke.proxy;
 
-import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Comparator;
 import java.util.List;
 
@@ -39,7 +38,7 @@
             connection
                     .reader()
                     .reject(new RequestValidator.Rejection(
-                            HttpResponseStatus.REQUEST_TIMEOUT, "the request is not whole"));
+                            RejectionReason.REQUEST_TOO_SLOW, "the request is not whole"));
         } else if (timeouts.mustClose(connection.state(), connection.isIdle(), elapsed(connection, nowMicros))) {
             connection.close();
         }
@@ -108,7 +107,7 @@
             } else if (timeouts.isLingering(connection.state(), elapsed(connection, nowMicros))) {
                 connection.close();
             } else if (reader.isRequestIncomplete() && !reader.isStreaming()) {
-                reader.reject(new RequestValidator.Rejection(HttpResponseStatus.SERVICE_UNAVAILABLE, "it ends"));
+                reader.reject(new RequestValidator.Rejection(RejectionReason.SHUTDOWN_BEFORE_COMPLETE, "it ends"));
             }
         }
     }
--- a/src/main/java/sedgeyoke/proxy/Exchange.java
+++ b/src/main/java/sedgeyoke/proxy/Exchange.java
@@ -38,13 +38,13 @@
     /** Where the response goes; one of these is called once. */
     interface Reply {
         /** Answers with the body of an upstream. */
-        void served(String contentType, byte[] body);
+        void complete(String contentType, byte[] body);
 
         /** Begins a response of an upstream that is streamed. */
         ResponseStream.Sink begin(ResponseStream.Head head, ResponseStream.Source source);
 
-        /** Answers that the request was not executed; {@code retryAfter} in microseconds, 0 for no Retry-After. */
-        void refused(long retryAfter);
+        /** Answers that the request was not executed, with the status of the reason; 0 for no Retry-After. */
+        void rejected(RejectionReason reason, long retryAfterMicros);
 
         /** Answers that it failed: it may have been executed or not. */
         void failed();
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/ExchangeActions.java
@@ -0,0 +1,91 @@
+package sedgeyoke.proxy;
+
+import io.netty.channel.EventLoop;
+import java.util.concurrent.TimeUnit;
+import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
+import sedgeyoke.policy.LoadBalancingPolicy.Settings;
+
+/**
+ * Carries out what the policy decides for one exchange. What it decides for an exchange that is no longer open is
+ * ignored. Event loop only; times are microseconds of the policy's clock.
+ */
+final class ExchangeActions {
+    private final EventLoop loop;
+    private final PolicyClock clock;
+    private final Settings settings;
+    private final ExchangeTable table;
+    private final AttemptProgress attempts;
+    private final ExchangeCompletion completion;
+    private final UpstreamConnectionPool pool;
+
+    ExchangeActions(
+            EventLoop loop,
+            PolicyClock clock,
+            Settings settings,
+            ExchangeTable table,
+            AttemptProgress attempts,
+            ExchangeCompletion completion,
+            UpstreamConnectionPool pool) {
+        this.loop = loop;
+        this.clock = clock;
+        this.settings = settings;
+        this.table = table;
+        this.attempts = attempts;
+        this.completion = completion;
+        this.pool = pool;
+    }
+
+    /** Starts an attempt at an upstream; {@code timeoutMicros} is 0 if it may wait as long as the exchange. */
+    void send(String id, String upstream, long timeoutMicros) {
+        Exchange exchange = table.get(id);
+        if (exchange == null) {
+            return;
+        }
+        long nowMicros = clock.now();
+        long deadlineMicros = timeoutMicros > 0
+                ? Math.min(nowMicros + timeoutMicros, exchange.deadlineMicros)
+                : exchange.deadlineMicros;
+        int number = exchange.attempts.size();
+        Attempt attempt = new Attempt(
+                exchange, number, upstream, nowMicros, deadlineMicros, attempts.resendDeadlineMicros(exchange));
+        exchange.attempts.add(attempt);
+        if (exchange.answered || number >= settings.limits().maxAttempts() || deadlineMicros <= nowMicros) {
+            attempts.ended(attempt, Outcome.NOT_SENT, null);
+            return;
+        }
+        if (deadlineMicros < exchange.deadlineMicros) {
+            attempt.timeoutTimer =
+                    loop.schedule(() -> attempts.timeOut(attempt), deadlineMicros - nowMicros, TimeUnit.MICROSECONDS);
+        }
+        pool.start(attempt);
+    }
+
+    /** Rejects a request; {@code retryAfterMicros} is 0 for no advice. */
+    void reject(String id, long retryAfterMicros) {
+        Exchange exchange = table.get(id);
+        if (exchange != null) {
+            completion.reject(exchange, RejectionReason.POLICY_DECISION, retryAfterMicros);
+            table.removeIfDone(exchange);
+        }
+    }
+
+    /** Answers that a request failed. */
+    void fail(String id) {
+        Exchange exchange = table.get(id);
+        if (exchange != null) {
+            completion.fail(exchange);
+            table.removeIfDone(exchange);
+        }
+    }
+
+    /** Stops an attempt unless it has ended. */
+    void cancel(String id, int number) {
+        Exchange exchange = table.get(id);
+        if (exchange != null) {
+            Attempt attempt = exchange.attempts.get(number);
+            if (!attempt.ended) {
+                attempts.stop(attempt, Outcome.CANCELLED);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/ExchangeCompletion.java
@@ -0,0 +1,138 @@
+package sedgeyoke.proxy;
+
+import sedgeyoke.policy.LoadBalancingPolicy.Settings;
+
+/**
+ * Ends exchanges towards their clients: each gets one response, or none if its client has left. Nothing else marks an
+ * exchange as answered, and whoever ends one without service names a {@link RejectionReason}. An exchange may be ended
+ * by
+ *
+ * <ul>
+ *   <li>the response of an upstream ({@link AttemptProgress}),
+ *   <li>the policy ({@link ExchangeActions}),
+ *   <li>its deadline, its client, or the end of the process ({@link ExchangeLifecycle}),
+ *   <li>a fault while it is handled ({@link PolicyEvents}, {@link ResponseWriter}).
+ * </ul>
+ *
+ * <p>Event loop only; times are microseconds.
+ */
+final class ExchangeCompletion {
+    /** Retry-After of a rejection where it is allowed and the policy gives none. */
+    private static final long DEFAULT_RETRY_AFTER_MICROS = 1_000_000;
+
+    private final PolicyClock clock;
+    private final Settings settings;
+    private final PolicyEvents events;
+    private final RequestMetrics metrics;
+    private final ExchangeTable table;
+    private final RateLimitedLog log;
+
+    ExchangeCompletion(
+            PolicyClock clock,
+            Settings settings,
+            PolicyEvents events,
+            RequestMetrics metrics,
+            ExchangeTable table,
+            RateLimitedLog log) {
+        this.clock = clock;
+        this.settings = settings;
+        this.events = events;
+        this.metrics = metrics;
+        this.table = table;
+        this.log = log;
+    }
+
+    // ---- With a response -----------------------------------------------------------------------------
+
+    /** Answers with a complete response of an upstream. */
+    void serve(Exchange exchange, UpstreamResponse response) {
+        if (markAnswered(exchange, RequestMetrics.End.SERVED)) {
+            exchange.reply.complete(response.contentType(), response.body());
+        }
+    }
+
+    /** From now on the response is streamed; it is counted once it ends. The exchange must be unanswered. */
+    void markStreaming(Exchange exchange) {
+        exchange.answered = true;
+    }
+
+    /** Counts the end of a streamed response. */
+    void streamEnded(Exchange exchange, RequestMetrics.End end) {
+        metrics.ended(exchange.request.classIndex(), end);
+    }
+
+    /** Rejects a request without advice when to retry; see {@link #reject(Exchange, RejectionReason, long)}. */
+    void reject(Exchange exchange, RejectionReason reason) {
+        reject(exchange, reason, 0);
+    }
+
+    /** Answers that the request was not executed; {@code retryAfterMicros} as the policy advises, 0 for no advice. */
+    void reject(Exchange exchange, RejectionReason reason, long retryAfterMicros) {
+        if (markAnswered(exchange, RequestMetrics.End.REJECTED)) {
+            exchange.reply.rejected(reason, retryAfterMicros(retryAfterMicros));
+        }
+    }
+
+    /** Answers that the request failed; it may have been executed or not. */
+    void fail(Exchange exchange) {
+        if (markAnswered(exchange, RequestMetrics.End.FAILED)) {
+            exchange.reply.failed();
+        }
+    }
+
+    /** Answers an exchange that is still open: with a rejection only if no upstream has executed it. */
+    void endUnanswered(Exchange exchange, RejectionReason reason) {
+        if (exchange.answered) {
+            return;
+        }
+        log.line("answered without the policy: " + exchange.request.id());
+        if (exchange.mayHaveRun()) {
+            fail(exchange);
+        } else {
+            reject(exchange, reason);
+        }
+        events.deliver(() -> events.policy().clientDisconnected(clock.now(), exchange.request.id()));
+        table.removeIfDone(exchange);
+    }
+
+    /** The Retry-After of a rejection; 0 where none is allowed. */
+    long retryAfterMicros(long advisedMicros) {
+        if (!settings.limits().retryAfter()) {
+            return 0;
+        }
+        return Math.min(
+                advisedMicros > 0 ? advisedMicros : DEFAULT_RETRY_AFTER_MICROS,
+                settings.limits().maxRetryAfterMicros());
+    }
+
+    // ---- Without a response --------------------------------------------------------------------------
+
+    /** The client has closed its connection before its response. */
+    void clientDisconnected(Exchange exchange) {
+        if (!exchange.answered) {
+            exchange.answered = true;
+            notifyClientDisconnected(exchange);
+            table.removeIfDone(exchange);
+        }
+    }
+
+    /** Ends an exchange whose client has stopped in the middle of its body; false if it was answered. */
+    boolean failWithoutResponse(Exchange exchange) {
+        return markAnswered(exchange, RequestMetrics.End.FAILED);
+    }
+
+    /** Tells the policy that nobody waits for the exchange any more. */
+    void notifyClientDisconnected(Exchange exchange) {
+        events.deliver(exchange, () -> events.policy().clientDisconnected(clock.now(), exchange.request.id()));
+    }
+
+    /** Marks the exchange as answered; false if it already was. */
+    private boolean markAnswered(Exchange exchange, RequestMetrics.End end) {
+        if (exchange.answered) {
+            return false;
+        }
+        exchange.answered = true;
+        metrics.ended(exchange.request.classIndex(), end);
+        return true;
+    }
+}
--- a/src/main/java/sedgeyoke/proxy/IncomingRequest.java
+++ b/src/main/java/sedgeyoke/proxy/IncomingRequest.java
@@ -160,10 +160,10 @@
         RequestBody rejected = stopReadingBody();
         if (rejected == null || !rejected.streams()) {
             responses.expectResponse();
-            responses.rejected(rejection.status(), rejection.reason());
+            responses.rejectWithText(rejection.reason(), rejection.text());
         } else {
             Exchange aborted = responses.exchange();
-            responses.rejected(rejection.status(), rejection.reason());
+            responses.rejectWithText(rejection.reason(), rejection.text());
             abortStreamedBody(aborted, rejected);
         }
     }
--- a/src/main/java/sedgeyoke/proxy/PolicyActions.java
+++ b/src/main/java/sedgeyoke/proxy/PolicyActions.java
@@ -3,16 +3,15 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy;
-import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
 import sedgeyoke.policy.LoadBalancingPolicy.Settings;
 
-/** Carries out what the policy decides. Actions for exchanges that are no longer open are ignored. Event loop only. */
+/** Carries out what the policy decides; for single exchanges that is up to {@link ExchangeActions}. Event loop only. */
 final class PolicyActions implements LoadBalancingPolicy.Actions {
     private final EventLoop loop;
     private final PolicyClock clock;
     private final Settings settings;
     private final PolicyEvents events;
-    private final ExchangeTable exchanges;
+    private final ExchangeActions exchanges;
     private final UpstreamConnectionPool pool;
     private final DiscoveryClient discovery;
     private final RateLimitedLog log;
@@ -22,7 +21,7 @@
             PolicyClock clock,
             Settings settings,
             PolicyEvents events,
-            ExchangeTable exchanges,
+            ExchangeActions exchanges,
             UpstreamConnectionPool pool,
             DiscoveryClient discovery,
             RateLimitedLog log) {
@@ -37,67 +36,35 @@
     }
 
     @Override
-    public void send(String request, String upstream, long timeout) {
-        Exchange exchange = exchanges.get(request);
-        if (exchange == null) {
-            return;
-        }
-        long now = clock.now();
-        long deadline = timeout > 0 ? Math.min(now + timeout, exchange.deadlineMicros) : exchange.deadlineMicros;
-        int number = exchange.attempts.size();
-        Attempt attempt =
-                new Attempt(exchange, number, upstream, now, deadline, exchanges.resendDeadlineMicros(exchange));
-        exchange.attempts.add(attempt);
-        if (exchange.answered || number >= settings.limits().maxAttempts() || deadline <= now) {
-            exchanges.ended(attempt, Outcome.NOT_SENT, null);
-            return;
-        }
-        if (deadline < exchange.deadlineMicros) {
-            attempt.timeoutTimer =
-                    loop.schedule(() -> exchanges.timeOut(attempt), deadline - now, TimeUnit.MICROSECONDS);
-        }
-        pool.start(attempt);
+    public void send(String request, String upstream, long timeoutMicros) {
+        exchanges.send(request, upstream, timeoutMicros);
     }
 
     @Override
-    public void reject(String request, long retryAfter) {
-        Exchange exchange = exchanges.get(request);
-        if (exchange != null) {
-            exchanges.reject(exchange, retryAfter);
-            exchanges.removeIfDone(exchange);
-        }
+    public void reject(String request, long retryAfterMicros) {
+        exchanges.reject(request, retryAfterMicros);
     }
 
     @Override
     public void fail(String request) {
-        Exchange exchange = exchanges.get(request);
-        if (exchange != null) {
-            exchanges.fail(exchange);
-            exchanges.removeIfDone(exchange);
-        }
+        exchanges.fail(request);
     }
 
     @Override
     public void cancel(String request, int number) {
-        Exchange exchange = exchanges.get(request);
-        if (exchange != null) {
-            Attempt attempt = exchange.attempts.get(number);
-            if (!attempt.ended) {
-                exchanges.stop(attempt, Outcome.CANCELLED);
-            }
-        }
+        exchanges.cancel(request, number);
     }
 
     @Override
-    public void setTimer(String token, long delay) {
-        long due = clock.now() + delay;
-        clock.timerSet(due);
+    public void setTimer(String token, long delayMicros) {
+        long dueMicros = clock.now() + delayMicros;
+        clock.timerSet(dueMicros);
         loop.schedule(
                 () -> {
-                    clock.timerFired(due);
+                    clock.timerFired(dueMicros);
                     events.deliver(() -> events.policy().timerFired(clock.now(), token));
                 },
-                delay,
+                delayMicros,
                 TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/sedgeyoke/proxy/PolicyEvents.java
+++ b/src/main/java/sedgeyoke/proxy/PolicyEvents.java
@@ -15,7 +15,7 @@
 
     /** Ends an exchange that the policy failed to handle. */
     interface FailureHandler {
-        void endUnanswered(Exchange exchange);
+        void policyFailed(Exchange exchange);
     }
 
     PolicyEvents(RateLimitedLog log) {
@@ -34,20 +34,28 @@
 
     /** Runs an event that concerns no single exchange: at once, or after the one that is being handled. */
     void deliver(Runnable event) {
-        deliver(null, event);
+        events.handle(() -> {
+            try {
+                event.run();
+            } catch (RuntimeException e) {
+                logFailure(e);
+            }
+        });
     }
 
-    /** Runs an event of an exchange (null for none): at once, or after the one that is being handled. */
+    /** Runs an event of an exchange: at once, or after the one that is being handled. */
     void deliver(Exchange exchange, Runnable event) {
         events.handle(() -> {
             try {
                 event.run();
             } catch (RuntimeException e) {
-                log.line("the policy failed: " + e + " at " + e.getStackTrace()[0]);
-                if (exchange != null) {
-                    failureHandler.endUnanswered(exchange);
-                }
+                logFailure(e);
+                failureHandler.policyFailed(exchange);
             }
         });
     }
+
+    private void logFailure(RuntimeException failure) {
+        log.line("the policy failed: " + failure + " at " + failure.getStackTrace()[0]);
+    }
 }
--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -30,7 +30,10 @@
     private final RateLimitedLog log;
     private final RequestMetrics metrics;
     private final PolicyEvents events;
-    private final ExchangeTable exchanges;
+    private final ExchangeTable table = new ExchangeTable();
+    private final ExchangeDeadlines deadlines;
+    private final ExchangeCompletion completion;
+    private final ExchangeLifecycle exchanges;
     private final UpstreamConnectionPool pool;
     private final DiscoveryClient discovery;
     private final DiscoveryMetrics discoveryMetrics = new DiscoveryMetrics();
@@ -64,15 +67,22 @@
         this.metrics = new RequestMetrics(config.instanceSettings().classNames());
         this.events = new PolicyEvents(log);
         this.confirmedList = new ConfirmedList(loop, log);
-        this.exchanges = new ExchangeTable(loop, clock, settings, bodies, events, metrics, confirmedList, log);
+        this.deadlines = new ExchangeDeadlines(loop, clock, bodies);
+        this.completion = new ExchangeCompletion(clock, settings, events, metrics, table, log);
+        AttemptProgress attempts = new AttemptProgress(clock, settings, events, metrics, table, deadlines, completion);
+        this.exchanges =
+                new ExchangeLifecycle(clock, settings, events, confirmedList, table, deadlines, attempts, completion);
+        deadlines.connect(exchanges::expire);
         UpstreamContext context = new UpstreamContext(
-                loop, clock::now, settings, config.instanceSettings().reportNames(), bodies, budget, exchanges, log);
+                loop, clock::now, settings, config.instanceSettings().reportNames(), bodies, budget, attempts, log);
         int maxUpstreamConnections = (int) (UPSTREAM_SOCKET_SHARE * config.sockets());
         this.pool = new UpstreamConnectionPool(context, transport, maxUpstreamConnections, metrics);
         this.discovery = new DiscoveryClient(loop, config, transport, new ListReceiver(), log, discoveryMetrics);
         this.cordons = new Cordons(clock, events, pool, new CordonStore(cordonFile(config)), log);
-        PolicyActions actions = new PolicyActions(loop, clock, settings, events, exchanges, pool, discovery, log);
-        events.connect(policy.apply(actions), exchanges::endUnanswered);
+        ExchangeActions exchangeActions = new ExchangeActions(loop, clock, settings, table, attempts, completion, pool);
+        PolicyActions actions = new PolicyActions(loop, clock, settings, events, exchangeActions, pool, discovery, log);
+        events.connect(
+                policy.apply(actions), exchange -> completion.endUnanswered(exchange, RejectionReason.POLICY_FAULT));
     }
 
     /** The file that the processes of one balancer share during an upgrade; null where there is no admin endpoint. */
@@ -155,7 +165,7 @@
 
     /** Whether a request with this id is open; each request has an id of its own. */
     boolean knows(String id) {
-        return exchanges.get(id) != null;
+        return table.get(id) != null;
     }
 
     /** Takes a client's request; it is owed one response from here on. */
@@ -165,7 +175,7 @@
 
     /** The client has closed its connection before its response. */
     void clientDisconnected(Exchange exchange) {
-        exchanges.clientDisconnected(exchange);
+        completion.clientDisconnected(exchange);
     }
 
     /** The client will send no more of a body of which a part was forwarded. */
@@ -173,9 +183,9 @@
         exchanges.requestBodyAborted(exchange);
     }
 
-    /** Answers an exchange that a fault of ours leaves open. */
-    void endUnanswered(Exchange exchange) {
-        exchanges.endUnanswered(exchange);
+    /** Answers an exchange that is left open because handling it threw. */
+    void handlingFailed(Exchange exchange) {
+        completion.endUnanswered(exchange, RejectionReason.INTERNAL_FAULT);
     }
 
     /** Counts a request that was rejected without an exchange of its own. */
@@ -183,9 +193,9 @@
         metrics.ended(classIndex, RequestMetrics.End.REJECTED);
     }
 
-    /** The Retry-After of a rejection, in microseconds; 0 where none is allowed. */
-    long retryAfter(long advisedMicros) {
-        return exchanges.retryAfter(advisedMicros);
+    /** The Retry-After of a rejection that the policy does not decide on; 0 where none is allowed. */
+    long defaultRetryAfterMicros() {
+        return completion.retryAfterMicros(0);
     }
 
     // ---- Graceful shutdown ---------------------------------------------------------------------------
@@ -201,7 +211,7 @@
 
     /** No response is out later than {@code lastResponse}, and requests are rejected from {@code lastRequest} on. */
     void limitTimes(long lastResponse, long lastRequest) {
-        exchanges.limitTimes(lastResponse, lastRequest);
+        deadlines.limitTimes(lastResponse, lastRequest);
     }
 
     /** Ends what is still open, just before the process is killed. */
@@ -211,7 +221,7 @@
 
     /** Whether no exchange is open. */
     boolean idle() {
-        return exchanges.isEmpty();
+        return table.isEmpty();
     }
 
     /** Logs how much memory streamed bodies have used, where they are on. */
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/RejectionReason.java
@@ -0,0 +1,77 @@
+package sedgeyoke.proxy;
+
+import io.netty.handler.codec.http.HttpResponseStatus;
+
+/**
+ * Why a request was rejected instead of being served, and the status that its client gets. The request was not
+ * executed, or a retry of it is harmless.
+ */
+enum RejectionReason {
+    // ---- Valid requests; the policy's metrics count them as rejected ---------------------------------
+
+    /** The policy sheds load, or sees no upstream that could respond in time. */
+    POLICY_DECISION(HttpResponseStatus.SERVICE_UNAVAILABLE),
+    /** As many exchanges are open as the settings allow. */
+    TOO_MANY_EXCHANGES(HttpResponseStatus.SERVICE_UNAVAILABLE),
+    /** The process shuts down, and a response might not be out before it is killed. */
+    SHUTDOWN_TOO_NEAR(HttpResponseStatus.SERVICE_UNAVAILABLE),
+    /** The process is about to be killed while the exchange is still open. */
+    SHUTDOWN_BEFORE_RESPONSE(HttpResponseStatus.SERVICE_UNAVAILABLE),
+    /** The deadline of the client is near, and no upstream has executed the request. */
+    DEADLINE_NEAR(HttpResponseStatus.SERVICE_UNAVAILABLE),
+    /** The policy threw while it handled an event of the exchange. */
+    POLICY_FAULT(HttpResponseStatus.SERVICE_UNAVAILABLE),
+    /** Handling the request threw outside the policy. */
+    INTERNAL_FAULT(HttpResponseStatus.SERVICE_UNAVAILABLE),
+    /** A part of the body was forwarded and dropped here, so that no further attempt is possible. */
+    BODY_NOT_REPEATABLE(HttpResponseStatus.SERVICE_UNAVAILABLE),
+    /** Hardly a socket is left for further requests. */
+    SOCKETS_SCARCE(HttpResponseStatus.SERVICE_UNAVAILABLE),
+    /** No memory is left for another body that must be streamed. */
+    BODY_BUDGET_EXHAUSTED(HttpResponseStatus.SERVICE_UNAVAILABLE),
+
+    // ---- Incomplete requests -------------------------------------------------------------------------
+
+    /** The rest of the request has not come in time, or comes too slowly. */
+    REQUEST_TOO_SLOW(HttpResponseStatus.REQUEST_TIMEOUT),
+    /** The process shuts down, and the request is still incomplete. */
+    SHUTDOWN_BEFORE_COMPLETE(HttpResponseStatus.SERVICE_UNAVAILABLE),
+
+    // ---- Invalid requests; the connection ends, as the end of such a request is not known -------------
+
+    /** The bytes are no HTTP message, or its length is ambiguous. */
+    MALFORMED_MESSAGE(HttpResponseStatus.BAD_REQUEST),
+    /** The header fields are longer than the decoder allows. */
+    HEADERS_TOO_LARGE(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE),
+    /** The request line is longer than the decoder allows. */
+    URI_TOO_LONG(HttpResponseStatus.REQUEST_URI_TOO_LONG),
+    /** The body is longer than the limit. */
+    BODY_TOO_LARGE(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE),
+    /** The version is neither HTTP/1.0 nor HTTP/1.1. */
+    UNSUPPORTED_VERSION(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED),
+    /** The client expects something other than 100-continue. */
+    UNSUPPORTED_EXPECTATION(HttpResponseStatus.EXPECTATION_FAILED),
+    /** A transfer coding other than chunked is used. */
+    UNSUPPORTED_TRANSFER_CODING(HttpResponseStatus.BAD_REQUEST),
+    /** The path is neither that of the API nor that of the health check. */
+    UNKNOWN_PATH(HttpResponseStatus.NOT_FOUND),
+    /** The method is neither GET nor POST. */
+    UNSUPPORTED_METHOD(HttpResponseStatus.METHOD_NOT_ALLOWED),
+    /** The query cannot be decoded. */
+    INVALID_QUERY(HttpResponseStatus.BAD_REQUEST),
+    /** A required header field is missing or has an invalid value. */
+    INVALID_HEADER(HttpResponseStatus.BAD_REQUEST),
+    /** A request with the same id is open. */
+    DUPLICATE_ID(HttpResponseStatus.BAD_REQUEST);
+
+    private final int statusCode;
+
+    RejectionReason(HttpResponseStatus status) {
+        this.statusCode = status.code();
+    }
+
+    /** The status of the response. */
+    HttpResponseStatus status() {
+        return HttpResponseStatus.valueOf(statusCode);
+    }
+}
--- a/src/main/java/sedgeyoke/proxy/RequestAdmission.java
+++ b/src/main/java/sedgeyoke/proxy/RequestAdmission.java
@@ -1,7 +1,6 @@
 package sedgeyoke.proxy;
 
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import java.util.ArrayDeque;
 import java.util.Queue;
@@ -55,7 +54,7 @@
             }
             return null;
         } catch (InvalidRequestException e) {
-            return new RequestValidator.Rejection(e.status(), e.getMessage());
+            return new RequestValidator.Rejection(e.reason(), e.getMessage());
         }
     }
 
@@ -68,9 +67,9 @@
         }
         Request request = validatedRequests.remove();
         if (connections.mustReject()) {
-            responses.rejectedForLackOfRoom(request.classIndex());
+            responses.rejectUnsubmitted(RejectionReason.SOCKETS_SCARCE, request.classIndex());
         } else if (core.knows(request.id())) { // another connection has sent this id since the head was validated
-            responses.rejected(HttpResponseStatus.BAD_REQUEST, RequestParser.DUPLICATE_ID);
+            responses.rejectWithText(RejectionReason.DUPLICATE_ID, RequestParser.DUPLICATE_ID);
         } else {
             submit(request, head, body, receivedMicros);
         }
@@ -94,7 +93,7 @@
     void rejectForLackOfBodyRoom() {
         Request rejected = validatedRequests.remove();
         responses.expectResponse();
-        responses.rejectedForLackOfRoom(rejected.classIndex());
+        responses.rejectUnsubmitted(RejectionReason.BODY_BUDGET_EXHAUSTED, rejected.classIndex());
     }
 
     /** Forgets the requests whose turn will not come. */
--- a/src/main/java/sedgeyoke/proxy/RequestParser.java
+++ b/src/main/java/sedgeyoke/proxy/RequestParser.java
@@ -5,7 +5,6 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
 import java.util.regex.Pattern;
@@ -48,14 +47,14 @@
         if (uri.rawPath().equals(HEALTH_PATH)) {
             return null;
         } else if (!uri.rawPath().equals(API_PATH)) {
-            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "not found");
+            throw new InvalidRequestException(RejectionReason.UNKNOWN_PATH, "not found");
         } else if (!head.method().equals(HttpMethod.GET) && !head.method().equals(HttpMethod.POST)) {
-            throw new InvalidRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET or POST");
+            throw new InvalidRequestException(RejectionReason.UNSUPPORTED_METHOD, "GET or POST");
         }
         try {
             return parse(head, uri);
         } catch (IllegalArgumentException e) { // of the query's escapes
-            throw new InvalidRequestException(HttpResponseStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
+            throw new InvalidRequestException(RejectionReason.INVALID_QUERY, String.valueOf(e.getMessage()));
         }
     }
 
@@ -63,7 +62,9 @@
         HttpHeaders headers = head.headers();
         String id = headers.get("X-Call-Id");
         require(id != null && !id.isBlank() && headers.getAll("X-Call-Id").size() == 1, "X-Call-Id");
-        require(!core.knows(id), DUPLICATE_ID);
+        if (core.knows(id)) {
+            throw invalidField(RejectionReason.DUPLICATE_ID, DUPLICATE_ID);
+        }
         int classIndex = config.instanceSettings().classNames().indexOf(headers.get("X-Call-Class"));
         require(classIndex >= 0, "X-Call-Class");
         long budgetMillis = number(headers.get("X-Budget-Ms"));
@@ -106,10 +107,14 @@
 
     private static void require(boolean condition, String field) throws InvalidRequestException {
         if (!condition) {
-            throw new InvalidRequestException(HttpResponseStatus.BAD_REQUEST, "missing or malformed: " + field);
+            throw invalidField(RejectionReason.INVALID_HEADER, field);
         }
     }
 
+    private static InvalidRequestException invalidField(RejectionReason reason, String field) {
+        return new InvalidRequestException(reason, "missing or malformed: " + field);
+    }
+
     /** A non-negative integer; -1 for anything else. */
     private static long number(String text) {
         return text != null && NUMBER.matcher(text).matches() ? Long.parseLong(text) : -1;
--- a/src/main/java/sedgeyoke/proxy/RequestValidator.java
+++ b/src/main/java/sedgeyoke/proxy/RequestValidator.java
@@ -11,7 +11,6 @@
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpRequestDecoder;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.TooLongHttpHeaderException;
@@ -32,8 +31,8 @@
     private boolean rejected;
     private long bodyBytes;
 
-    /** Goes up the pipeline in place of the request; {@code reason} is the text of the response. */
-    record Rejection(HttpResponseStatus status, String reason) {}
+    /** Goes up the pipeline in place of the request; {@code text} is the body of the response. */
+    record Rejection(RejectionReason reason, String text) {}
 
     /** Rejects requests with two lengths, which may hide another request in their body (request smuggling). */
     static final class Decoder extends HttpRequestDecoder {
@@ -76,13 +75,7 @@
     private Rejection check(HttpObject part) {
         Throwable fault = part.decoderResult().cause();
         if (fault != null) {
-            return new Rejection(
-                    fault instanceof TooLongHttpHeaderException
-                            ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
-                            : fault instanceof TooLongHttpLineException
-                                    ? HttpResponseStatus.REQUEST_URI_TOO_LONG
-                                    : HttpResponseStatus.BAD_REQUEST,
-                    "malformed request");
+            return new Rejection(reasonOf(fault), "malformed request");
         }
         if (part instanceof HttpRequest head) {
             bodyBytes = 0;
@@ -93,25 +86,34 @@
         return bodyBytes > maxBodyBytes ? tooLarge() : null;
     }
 
+    private static RejectionReason reasonOf(Throwable fault) {
+        if (fault instanceof TooLongHttpHeaderException) {
+            return RejectionReason.HEADERS_TOO_LARGE;
+        }
+        return fault instanceof TooLongHttpLineException
+                ? RejectionReason.URI_TOO_LONG
+                : RejectionReason.MALFORMED_MESSAGE;
+    }
+
     private Rejection framing(HttpRequest head) {
         HttpVersion version = head.protocolVersion();
         if (!version.equals(HttpVersion.HTTP_1_1) && !version.equals(HttpVersion.HTTP_1_0)) {
-            return new Rejection(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here");
+            return new Rejection(RejectionReason.UNSUPPORTED_VERSION, "HTTP/1.1 is spoken here");
         }
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (!codings.isEmpty()
                 && (codings.size() > 1 || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0)))) {
-            return new Rejection(HttpResponseStatus.BAD_REQUEST, "missing or malformed: Transfer-Encoding");
+            return new Rejection(
+                    RejectionReason.UNSUPPORTED_TRANSFER_CODING, "missing or malformed: Transfer-Encoding");
         }
         String expected = head.headers().get(HttpHeaderNames.EXPECT);
         if (expected != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
-            return new Rejection(HttpResponseStatus.EXPECTATION_FAILED, "malformed: Expect");
+            return new Rejection(RejectionReason.UNSUPPORTED_EXPECTATION, "malformed: Expect");
         }
         return HttpUtil.getContentLength(head, 0L) > maxBodyBytes ? tooLarge() : null;
     }
 
     private Rejection tooLarge() {
-        return new Rejection(
-                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "a body of more than " + maxBodyBytes + " bytes");
+        return new Rejection(RejectionReason.BODY_TOO_LARGE, "a body of more than " + maxBodyBytes + " bytes");
     }
 }
--- a/src/main/java/sedgeyoke/proxy/ResponseWriter.java
+++ b/src/main/java/sedgeyoke/proxy/ResponseWriter.java
@@ -82,13 +82,13 @@
     // ---- Complete responses --------------------------------------------------------------------------
 
     @Override
-    public void served(String contentType, byte[] body) {
+    public void complete(String contentType, byte[] body) {
         respond(HttpResponseStatus.OK, contentType, body, 0);
     }
 
     @Override
-    public void refused(long retryAfter) {
-        respond(HttpResponseStatus.SERVICE_UNAVAILABLE, null, NO_BODY, retryAfter);
+    public void rejected(RejectionReason reason, long retryAfterMicros) {
+        respond(reason.status(), null, NO_BODY, retryAfterMicros);
     }
 
     @Override
@@ -102,17 +102,17 @@
         respond(status, "text/plain", NO_BODY, 0);
     }
 
-    /** Responds with a reason as text; the connection ends with it. */
-    void rejected(HttpResponseStatus status, String reason) {
+    /** Rejects a request that is invalid or incomplete, with a text for its client; the connection ends with it. */
+    void rejectWithText(RejectionReason reason, String text) {
         keepAlive = false;
-        respond(status, "text/plain", reason.getBytes(StandardCharsets.UTF_8), 0);
+        respond(reason.status(), "text/plain", text.getBytes(StandardCharsets.UTF_8), 0);
     }
 
-    /** Rejects a request for lack of room, which the policy is not asked about; the connection ends with it. */
-    void rejectedForLackOfRoom(int classIndex) {
+    /** Rejects a valid request that is not submitted to the core; the connection ends with it. */
+    void rejectUnsubmitted(RejectionReason reason, int classIndex) {
         keepAlive = false;
         core.countRejected(classIndex);
-        refused(core.retryAfter(0));
+        rejected(reason, core.defaultRetryAfterMicros());
     }
 
     /** Responds to a request that would otherwise get no response, because handling it threw. */
@@ -120,7 +120,7 @@
         core.log().line("request not handled: " + cause);
         keepAlive = false;
         if (exchange != null) {
-            core.endUnanswered(exchange);
+            core.handlingFailed(exchange);
         } else if (responseDue) {
             respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, null, NO_BODY, 0);
         } else {
