--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -49,7 +49,10 @@
     private final RateLimitedLog log;
     private final RequestMetrics metrics;
     private final PolicyEvents events;
-    private final ExchangeTable exchanges;
+    private final ExchangeTable table;
+    private final ExchangeDeadlines deadlines;
+    private final ExchangeCompletion completion;
+    private final ExchangeLifecycle exchanges;
     private final EndpointTable endpoints;
     private final DiscoveryClient discovery;
     private final DiscoveryMetrics discoveryMetrics = new DiscoveryMetrics();
@@ -83,9 +86,15 @@
         this.metrics = new RequestMetrics(config.instanceSettings().classNames());
         this.events = new PolicyEvents(log);
         this.initialListBarrier = new InitialListBarrier(loop, log);
-        this.exchanges = new ExchangeTable(loop, clock, settings, bodies, events, metrics, initialListBarrier, log);
+        this.table = new ExchangeTable(settings.limits().maxConcurrentRequests());
+        this.deadlines = new ExchangeDeadlines(loop, clock, bodies);
+        this.completion = new ExchangeCompletion(clock, settings, events, metrics, table, log);
+        AttemptProgress attempts = new AttemptProgress(clock, settings, events, metrics, table, deadlines, completion);
+        this.exchanges =
+                new ExchangeLifecycle(clock, events, initialListBarrier, table, deadlines, attempts, completion);
+        deadlines.connect(exchanges::expire);
         UpstreamContext context = new UpstreamContext(
-                loop, clock::now, settings, config.instanceSettings().reportNames(), bodies, budget, exchanges, log);
+                loop, clock::now, settings, config.instanceSettings().reportNames(), bodies, budget, attempts, log);
         int maxUpstreamConnections = (int) (UPSTREAM_SOCKET_SHARE * config.sockets());
         this.endpoints = new EndpointTable(transport);
         UpstreamConnectionPool pool =
@@ -93,8 +102,10 @@
         this.discovery =
                 new DiscoveryClient(loop, config, transport, clock::now, new ListReceiver(), log, discoveryMetrics);
         this.cordons = new CordonRegistry(clock, events, endpoints, new CordonStore(cordonFile(config)), log);
-        PolicyActions actions = new PolicyActions(loop, clock, settings, events, exchanges, pool, discovery, log);
-        events.connect(policy.apply(actions), exchanges::endUnanswered);
+        ExchangeActions exchangeActions = new ExchangeActions(loop, clock, settings, table, attempts, completion, pool);
+        PolicyActions actions = new PolicyActions(loop, clock, settings, events, exchangeActions, pool, discovery, log);
+        events.connect(
+                policy.apply(actions), exchange -> completion.endUnanswered(exchange, RejectionReason.POLICY_FAULT));
     }
 
     /** The file that the processes of one balancer share during an upgrade; null where there is no admin endpoint. */
@@ -179,7 +190,7 @@
 
     /** Whether a request with this id is open; each request has an id of its own. */
     boolean knows(String id) {
-        return exchanges.get(id) != null;
+        return table.get(id) != null;
     }
 
     /** Takes a client's request; it is owed one response from here on. */
@@ -189,7 +200,7 @@
 
     /** The client has closed its connection before its response. */
     void clientDisconnected(Exchange exchange) {
-        exchanges.clientDisconnected(exchange);
+        completion.clientDisconnected(exchange);
     }
 
     /** The client will send no more of a body of which a part was forwarded. */
@@ -197,9 +208,9 @@
         exchanges.requestBodyAborted(exchange);
     }
 
-    /** Answers an exchange that a fault of ours leaves open. */
-    void endUnanswered(Exchange exchange) {
-        exchanges.endUnanswered(exchange);
+    /** Answers an exchange that is left open because handling it threw. */
+    void handlingFailed(Exchange exchange) {
+        completion.endUnanswered(exchange, RejectionReason.INTERNAL_FAULT);
     }
 
     /** Counts a request that was rejected without an exchange of its own. */
@@ -207,9 +218,9 @@
         metrics.ended(classIndex, RequestMetrics.End.REJECTED);
     }
 
-    /** The Retry-After of a rejection, in microseconds; 0 where none is allowed. */
-    long retryAfter(long advisedMicros) {
-        return exchanges.retryAfter(advisedMicros);
+    /** The Retry-After of a rejection that the policy does not decide on; 0 where none is allowed. */
+    long defaultRetryAfterMicros() {
+        return completion.retryAfterMicros(0);
     }
 
     // ---- Graceful shutdown ---------------------------------------------------------------------------
@@ -225,7 +236,7 @@
 
     /** No response is out after the first time, and requests are rejected from the second on. */
     void limitTimes(long lastResponseMicros, long lastRequestMicros) {
-        exchanges.limitTimes(lastResponseMicros, lastRequestMicros);
+        deadlines.limitTimes(lastResponseMicros, lastRequestMicros);
     }
 
     /** Ends what is still open, just before the process is killed. */
@@ -235,7 +246,7 @@
 
     /** Whether no exchange is open. */
     boolean idle() {
-        return exchanges.isEmpty();
+        return table.isEmpty();
     }
 
     /** Logs how much memory streamed bodies have used, where they are on. */
