--- a/src/main/java/sedgeyoke/consensus/ReplicaRecovery.java
+++ b/src/main/java/sedgeyoke/consensus/ReplicaRecovery.java
@@ -12,6 +12,28 @@
  * (part of it is corrupt, the machine has crashed and writes may have been lost, or others remember an incarnation
  * that the disk does not), it first has to learn from the others whatever it may have acknowledged. This follows the
  * recovery protocol of Viewstamped Replication Revisited; docs/design/agreement.md has the argument.
+ *
+ * <p>Until it is recovered, a replica answers:
+ *
+ * <ul>
+ *   <li>entries, heartbeats and snapshot chunks: it stores what they bring and acknowledges it, and says that it is
+ *       not recovered. The leader brings it up to date and takes it for reachable, but does not count it for a commit
+ *       or for the confirmation of its leadership;
+ *   <li>recovery queries of other replicas, and says that it is not recovered, and whether something is certainly lost.
+ *       The reply can show that the disk of the other is outdated; where that one may have lost something, it counts
+ *       only if all other voters have replied;
+ *   <li>requests of operators and balancers, which it forwards to the leader like any follower; its status, the history
+ *       and the versions that it knows to be committed. A committed entry never changes, so these are true, if old.
+ * </ul>
+ *
+ * <p>It withholds its vote: it rejects pre-vote and vote requests, starts no election, and ignores a leader's
+ * instruction to start one. It may have forgotten a vote, and a second one in the same term could elect a second
+ * leader; it may also have forgotten a committed entry, and its vote could elect a leader without that entry.
+ *
+ * <p>This is safe, as every decision has a majority of recovered replicas, any two majorities share a replica, and a
+ * recovered one has forgotten nothing. The exception is a vote once all other voters have replied and less than a
+ * majority has certainly lost something ({@link #mayVote}): a candidate then needs the votes of all, so its log is the
+ * most complete, and one of the replicas that acknowledged a committed entry still has it.
  */
 final class ReplicaRecovery {
     /** Query ids of one incarnation differ in these low bits, those of different incarnations in the others. */
