--- a/src/main/java/sedgeyoke/consensus/codec/ClientCodec.java
+++ b/src/main/java/sedgeyoke/consensus/codec/ClientCodec.java
@@ -58,7 +58,7 @@
                     message.getRemoveMember().getName(),
                     message.getRemoveMember().getStorageId());
             case READ -> new ClientRequest.Read();
-            case REQUEST_NOT_SET -> throw new InvalidMessageException("request: a newer release may have sent it");
+            case REQUEST_NOT_SET -> throw InvalidMessageException.unknownType("request", "sent it");
         };
     }
 
--- a/src/main/java/sedgeyoke/consensus/codec/LogCodec.java
+++ b/src/main/java/sedgeyoke/consensus/codec/LogCodec.java
@@ -120,8 +120,8 @@
                     case WRITE -> decode(message.getWrite());
                     case ACTIVATE -> new Command.Activate(message.getActivate());
                     case NO_OP -> new Command.NoOp();
-                    case COMMAND_NOT_SET -> throw new InvalidMessageException(
-                            "command of entry " + message.getIndex() + ": a newer release may have written it");
+                    case COMMAND_NOT_SET -> throw InvalidMessageException.unknownType(
+                            "command of entry " + message.getIndex(), "written it");
                 };
         return new LogEntry(message.getIndex(), message.getTerm(), command);
     }
--- a/src/main/java/sedgeyoke/consensus/codec/RaftMessageCodec.java
+++ b/src/main/java/sedgeyoke/consensus/codec/RaftMessageCodec.java
@@ -62,7 +62,7 @@
                     ClientCodec.decode(envelope.getForwardedResponse().getResult()));
             case LEASE_REQUESTS -> leaseRequests(term, envelope);
             case LEASE_RESPONSES -> leaseResponses(term, envelope);
-            case BODY_NOT_SET -> throw new InvalidMessageException("message: a newer release may have sent it");
+            case BODY_NOT_SET -> throw InvalidMessageException.unknownType("message", "sent it");
         };
     }
 
--- a/src/main/java/sedgeyoke/consensus/storage/HardStateFile.java
+++ b/src/main/java/sedgeyoke/consensus/storage/HardStateFile.java
@@ -51,11 +51,13 @@
         Optional<Corruption> corruption = file.corruption();
         if (corruption.isPresent()) {
             throw new UnusableStorageException(
+                    UnusableStorageException.Reason.CORRUPT_HARD_STATE,
                     corruption.get() + ": this config server has to be replaced: empty the folder, then 'config-servers"
                             + " remove " + owner.server() + "' and 'config-servers add' it");
         }
         byte[] content = file.content()
                 .orElseThrow(() -> new UnusableStorageException(
+                        UnusableStorageException.Reason.NO_HARD_STATE,
                         "no " + FILE + " file: not a config server's folder, or its disk has lost it"));
         HardStateMessage stored = parse(content);
         checkOwner(stored, owner);
@@ -66,7 +68,9 @@
         try {
             return HardStateMessage.parseFrom(content);
         } catch (InvalidProtocolBufferException e) {
-            throw new UnusableStorageException(FILE + ": written by another program: " + e.getMessage());
+            throw new UnusableStorageException(
+                    UnusableStorageException.Reason.UNKNOWN_FORMAT,
+                    FILE + ": written by another program: " + e.getMessage());
         }
     }
 
@@ -74,10 +78,13 @@
     private static void checkOwner(HardStateMessage stored, ReplicaStorage.Owner owner)
             throws UnusableStorageException {
         if (!owner.tier().isEmpty() && !stored.getTier().equals(owner.tier())) {
-            throw new UnusableStorageException("it belongs to tier " + stored.getTier() + ", not " + owner.tier());
+            throw new UnusableStorageException(
+                    UnusableStorageException.Reason.OTHER_TIER,
+                    "it belongs to tier " + stored.getTier() + ", not " + owner.tier());
         }
         if (!owner.server().isEmpty() && !stored.getServer().equals(owner.server())) {
             throw new UnusableStorageException(
+                    UnusableStorageException.Reason.OTHER_SERVER,
                     "it belongs to config server " + stored.getServer() + ", not " + owner.server());
         }
     }
--- a/src/main/java/sedgeyoke/consensus/storage/ReplicaStorage.java
+++ b/src/main/java/sedgeyoke/consensus/storage/ReplicaStorage.java
@@ -95,7 +95,7 @@
     public static void create(Disk disk, Owner owner, long storageId, Membership founders)
             throws DiskException, UnusableStorageException {
         if (!isEmpty(disk)) {
-            throw new UnusableStorageException("the folder is not empty");
+            throw new UnusableStorageException(UnusableStorageException.Reason.NOT_EMPTY, "the folder is not empty");
         }
         HardStateFile.create(disk, owner, storageId, founders);
     }
@@ -137,6 +137,7 @@
         if (hasGap(entries, snapshotIndex)) {
             found.addAll(snapshots.corruptions());
             found.add(new Corruption(
+                    Corruption.Kind.MISSING_RECORDS,
                     "log",
                     0,
                     snapshotIndex + 1,
@@ -206,6 +207,7 @@
                 entries.add(LogCodec.decode(LogEntryMessage.parseFrom(logRecord.payload())));
             } catch (InvalidProtocolBufferException | InvalidMessageException e) {
                 throw new UnusableStorageException(
+                        UnusableStorageException.Reason.UNKNOWN_FORMAT,
                         "record " + logRecord.index() + " has a valid checksum but is no log entry: " + e.getMessage());
             }
         }
--- a/src/main/java/sedgeyoke/consensus/storage/UnusableStorageException.java
+++ b/src/main/java/sedgeyoke/consensus/storage/UnusableStorageException.java
@@ -4,7 +4,32 @@
 public final class UnusableStorageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    UnusableStorageException(String message) {
+    /** Why a directory is unusable. */
+    public enum Reason {
+        /** It is to be initialized, and has files already. */
+        NOT_EMPTY,
+        /** It has no hard state: it is no config server's directory, or the disk has lost that file. */
+        NO_HARD_STATE,
+        /** No copy of the hard state is valid; the replica has to be replaced. */
+        CORRUPT_HARD_STATE,
+        /** A file has a valid checksum, but this program did not write it. */
+        UNKNOWN_FORMAT,
+        /** It belongs to another tier. */
+        OTHER_TIER,
+        /** It belongs to another config server of the tier. */
+        OTHER_SERVER
+    }
+
+    private final Reason reason;
+
+    /** Creates the exception; {@code message} is for operators. */
+    UnusableStorageException(Reason reason, String message) {
         super(message);
+        this.reason = reason;
+    }
+
+    /** Returns why the directory is unusable. */
+    public Reason reason() {
+        return reason;
     }
 }
--- a/src/main/java/sedgeyoke/store/Corruption.java
+++ b/src/main/java/sedgeyoke/store/Corruption.java
@@ -3,15 +3,30 @@
 /**
  * Durable data of a directory that is missing or fails its checksum.
  *
+ * @param kind what is missing or invalid
  * @param file name of the file
  * @param offset byte offset of the bad part in the file; 0 where all of the file is meant
  * @param firstLostRecord index of the first record that may be lost, or {@link #NO_RECORD}
- * @param description what is wrong, for operators
+ * @param description details, for operators
  */
-public record Corruption(String file, long offset, long firstLostRecord, String description) {
+public record Corruption(Kind kind, String file, long offset, long firstLostRecord, String description) {
     /** Value of {@link #firstLostRecord} where no record of a log is lost. */
     public static final long NO_RECORD = -1;
 
+    /** Kinds of corruption. */
+    public enum Kind {
+        /** A segment of the log, or its header, is missing or invalid. */
+        MISSING_SEGMENT,
+        /** Records that were durable are missing, invalid or stale. */
+        MISSING_RECORDS,
+        /** The sync marks of a segment are missing or invalid: how many of its records were durable is not known. */
+        INVALID_SYNC_MARKS,
+        /** A snapshot is invalid. */
+        INVALID_SNAPSHOT,
+        /** No copy of a dual-copy file is valid. */
+        INVALID_COPIES
+    }
+
     @Override
     public String toString() {
         return file + " at byte " + offset + ": " + description
--- a/src/main/java/sedgeyoke/store/DualCopyFile.java
+++ b/src/main/java/sedgeyoke/store/DualCopyFile.java
@@ -109,7 +109,11 @@
     public Optional<Corruption> corruption() {
         return content == null && anyCopyInvalid
                 ? Optional.of(new Corruption(
-                        files[0], 0, Corruption.NO_RECORD, "neither this copy nor " + files[1] + " is valid"))
+                        Corruption.Kind.INVALID_COPIES,
+                        files[0],
+                        0,
+                        Corruption.NO_RECORD,
+                        "neither this copy nor " + files[1] + " is valid"))
                 : Optional.empty();
     }
 
--- a/src/main/java/sedgeyoke/store/SegmentRecovery.java
+++ b/src/main/java/sedgeyoke/store/SegmentRecovery.java
@@ -62,12 +62,13 @@
         long newest = generations.isEmpty() ? 0 : generations.get(generations.size() - 1);
         if (newest != highestGeneration) {
             String missing = SegmentFiles.recordsFile(highestGeneration);
-            corruptions.add(new Corruption(missing, 0, 0, "the last segment is gone"));
+            corruptions.add(new Corruption(Corruption.Kind.MISSING_SEGMENT, missing, 0, 0, "the last segment is gone"));
         }
         long expected = generations.isEmpty() ? 1 : generations.get(0);
         for (long generation : generations) {
             if (generation != expected) {
                 corruptions.add(new Corruption(
+                        Corruption.Kind.MISSING_SEGMENT,
                         SegmentFiles.recordsFile(expected),
                         0,
                         0,
@@ -89,7 +90,8 @@
         Optional<Segment> header = format.decodeHeader(file, generation);
         if (header.isEmpty()) {
             long firstLost = mark.map(SyncMark::firstIndex).orElse(0L);
-            corruptions.add(new Corruption(name, 0, firstLost, "no valid segment header of this directory"));
+            corruptions.add(new Corruption(
+                    Corruption.Kind.MISSING_SEGMENT, name, 0, firstLost, "no valid segment header of this directory"));
             unreadGenerations.add(generation);
             return;
         }
@@ -103,6 +105,7 @@
         }
         if (!segments.isEmpty() && segment.firstIndex > nextIndex()) {
             corruptions.add(new Corruption(
+                    Corruption.Kind.MISSING_RECORDS,
                     name,
                     0,
                     nextIndex(),
@@ -141,6 +144,7 @@
             segment.dropFrom(segment.firstIndex);
         }
         corruptions.add(new Corruption(
+                Corruption.Kind.MISSING_RECORDS,
                 SegmentFiles.recordsFile(segment.generation),
                 prefixIsValid ? segment.endOffset() : SegmentFormat.HEADER_BYTES,
                 segment.nextIndex(),
@@ -174,6 +178,7 @@
         boolean missing = !files.hasMarks(generation);
         if (missing || invalidBehindLast) {
             corruptions.add(new Corruption(
+                    Corruption.Kind.INVALID_SYNC_MARKS,
                     SegmentFiles.marksFile(generation),
                     0,
                     last.map(SyncMark::nextIndex).orElse(0L),
--- a/src/main/java/sedgeyoke/store/SnapshotStore.java
+++ b/src/main/java/sedgeyoke/store/SnapshotStore.java
@@ -64,8 +64,12 @@
             if (snapshot.isPresent()) {
                 return snapshot;
             }
-            corruptions.add(
-                    new Corruption(fileName(PREFIX, lastIndex), 0, Corruption.NO_RECORD, "the snapshot is invalid"));
+            corruptions.add(new Corruption(
+                    Corruption.Kind.INVALID_SNAPSHOT,
+                    fileName(PREFIX, lastIndex),
+                    0,
+                    Corruption.NO_RECORD,
+                    "the snapshot is invalid"));
         }
         return Optional.empty();
     }
--- a/src/test/java/sedgeyoke/consensus/codec/RaftMessageCodecTest.java
+++ b/src/test/java/sedgeyoke/consensus/codec/RaftMessageCodecTest.java
@@ -112,9 +112,16 @@
                 new RaftMessage.RequestVote(-1, 0, 0, false));
         for (RaftMessage message : invalid) {
             RaftEnvelope envelope = RaftMessageCodec.encode(STORAGE_ID, message);
-            assertThrows(InvalidMessageException.class, () -> RaftMessageCodec.decode(envelope), message.toString());
+            InvalidMessageException thrown = assertThrows(
+                    InvalidMessageException.class, () -> RaftMessageCodec.decode(envelope), message.toString());
+            assertEquals(InvalidMessageException.Kind.INVALID_FIELD, thrown.kind());
         }
-        assertThrows(InvalidMessageException.class, () -> RaftMessageCodec.decode(RaftEnvelope.getDefaultInstance()));
+        assertEquals(
+                InvalidMessageException.Kind.UNKNOWN_TYPE,
+                assertThrows(
+                                InvalidMessageException.class,
+                                () -> RaftMessageCodec.decode(RaftEnvelope.getDefaultInstance()))
+                        .kind());
     }
 
     /** Flipped or truncated bytes are rejected or decoded as another message. */
--- a/src/test/java/sedgeyoke/store/StoreTest.java
+++ b/src/test/java/sedgeyoke/store/StoreTest.java
@@ -225,7 +225,29 @@
         }
         disk.flipBit("slot-a", 21, 1);
         disk.flipBit("slot-b", 22, 1);
-        assertTrue(DualCopyFile.open(disk, "slot").corruption().isPresent());
+        Corruption corruption = DualCopyFile.open(disk, "slot").corruption().orElseThrow();
+        assertEquals(Corruption.Kind.INVALID_COPIES, corruption.kind());
+        assertEquals("slot-a", corruption.file());
+    }
+
+    @Test
+    void theKindOfACorruptionSaysWhatIsMissing() throws Exception {
+        SimDisk disk = new SimDisk(1);
+        appendSixRecords(open(disk));
+        SimDisk withoutMarks = disk.copy(1);
+        withoutMarks.delete("mark-0000000000000001");
+        assertEquals(
+                Corruption.Kind.INVALID_SYNC_MARKS,
+                open(withoutMarks).corruptions().get(0).kind());
+        SimDisk withoutSegment = disk.copy(2);
+        withoutSegment.delete("log-0000000000000001");
+        assertEquals(
+                Corruption.Kind.MISSING_SEGMENT,
+                open(withoutSegment).corruptions().get(0).kind());
+        disk.flipBit("log-0000000000000001", SegmentFormat.HEADER_BYTES + 1, 0);
+        Corruption flipped = open(disk).corruptions().get(0);
+        assertEquals(Corruption.Kind.MISSING_RECORDS, flipped.kind());
+        assertEquals("log-0000000000000001", flipped.file());
     }
 
     @Test
