--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -14,6 +14,25 @@
 /**
  * Connects the policy with the exchanges, the connection pool and discovery of one balancer, and is what the frontend
  * and other features call. Event loop only.
+ *
+ * <p>The first second of a process, in this order:
+ *
+ * <ol>
+ *   <li>{@code BalancerMain} first installs the handler of SIGHUP, then reads the configuration and builds the
+ *       balancer; nothing runs yet.
+ *   <li>{@link #start} runs on the event loop: the time limit of the {@link InitialListBarrier} begins; the policy
+ *       starts, and gets the endpoint list of the configuration as {@link ListKind#RESTORED}; {@link DiscoveryClient}
+ *       makes its first call, which returns at once; the stored cordons ({@link CordonStore}) are read.
+ *   <li>Meanwhile {@link JitWarmUp} serves requests in the process, on a thread of its own, so that its code is
+ *       compiled.
+ *   <li>{@code BalancerMain} installs the shutdown hook and only then binds the listener: from here on clients can
+ *       connect, and each accepted request gets a response even if SIGTERM comes now.
+ *   <li>Requests that arrive before the first answer of discovery are queued in the {@link InitialListBarrier}. The
+ *       answer releases them, or the limit does, 1 s after the first call.
+ *   <li>From the first list of discovery on, a launch that is newly listed counts as recent in the policy's
+ *       {@code LaunchTimes}; the list of the configuration may name launches of any age.
+ *   <li>The admin endpoint is bound, and the optional features start.
+ * </ol>
  */
 final class ProxyCore implements PolicyPort {
     /** SIGKILL does not wait for longer deadlines (PROTOCOL, "Figures"). */
@@ -31,11 +50,11 @@
     private final RequestMetrics metrics;
     private final PolicyEvents events;
     private final ExchangeTable exchanges;
-    private final UpstreamConnectionPool pool;
+    private final EndpointTable endpoints;
     private final DiscoveryClient discovery;
     private final DiscoveryMetrics discoveryMetrics = new DiscoveryMetrics();
-    private final ConfirmedList confirmedList;
-    private final Cordons cordons;
+    private final InitialListBarrier initialListBarrier;
+    private final CordonRegistry cordons;
     private boolean started;
 
     ProxyCore(EventLoop loop, BalancerConfig config, Transport transport, BodyLimits bodies) {
@@ -63,24 +82,28 @@
         this.log = new RateLimitedLog(transport.log(), config.name(), clock::now);
         this.metrics = new RequestMetrics(config.instanceSettings().classNames());
         this.events = new PolicyEvents(log);
-        this.confirmedList = new ConfirmedList(loop, log);
-        this.exchanges = new ExchangeTable(loop, clock, settings, bodies, events, metrics, confirmedList, log);
+        this.initialListBarrier = new InitialListBarrier(loop, log);
+        this.exchanges = new ExchangeTable(loop, clock, settings, bodies, events, metrics, initialListBarrier, log);
         UpstreamContext context = new UpstreamContext(
                 loop, clock::now, settings, config.instanceSettings().reportNames(), bodies, budget, exchanges, log);
         int maxUpstreamConnections = (int) (UPSTREAM_SOCKET_SHARE * config.sockets());
-        this.pool = new UpstreamConnectionPool(context, transport, maxUpstreamConnections, metrics);
-        this.discovery = new DiscoveryClient(loop, config, transport, new ListReceiver(), log, discoveryMetrics);
-        this.cordons = new Cordons(clock, events, pool, new CordonStore(cordonFile(config)), log);
+        this.endpoints = new EndpointTable(transport);
+        UpstreamConnectionPool pool =
+                new UpstreamConnectionPool(context, transport, endpoints, maxUpstreamConnections, metrics);
+        this.discovery =
+                new DiscoveryClient(loop, config, transport, clock::now, new ListReceiver(), log, discoveryMetrics);
+        this.cordons = new CordonRegistry(clock, events, endpoints, new CordonStore(cordonFile(config)), log);
         PolicyActions actions = new PolicyActions(loop, clock, settings, events, exchanges, pool, discovery, log);
         events.connect(policy.apply(actions), exchanges::endUnanswered);
     }
 
     /** The file that the processes of one balancer share during an upgrade; null where there is no admin endpoint. */
     private static Path cordonFile(BalancerConfig config) {
-        if (config.ops() == null || config.folder() == null) {
+        if (config.adminAddress() == null || config.sharedFolder() == null) {
             return null;
         }
-        return config.folder().resolve("sedgeyoke-cordons-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
+        return config.sharedFolder()
+                .resolve("sedgeyoke-cordons-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
     }
 
     /**
@@ -92,15 +115,15 @@
             return;
         }
         started = true;
-        confirmedList.start();
+        initialListBarrier.start();
         events.deliver(() -> events.policy().start(now()));
-        EndpointList known = config.known();
-        pool.update(known);
-        events.deliver(() -> events.policy().endpointsUpdated(now(), ListKind.RESTORED, known.upstreams()));
+        EndpointList configured = config.configuredEndpoints();
+        endpoints.update(configured);
+        events.deliver(() -> events.policy().endpointsUpdated(now(), ListKind.RESTORED, configured.upstreams()));
         if (!settings.subscribesToEndpoints()) {
             discovery.watch(true);
         }
-        if (config.ops() != null) {
+        if (config.adminAddress() != null) {
             cordons.start(loop);
         }
     }
@@ -110,7 +133,7 @@
         @Override
         public void listed(EndpointList list) {
             discoveryMetrics.count(DiscoveryMetrics.Event.LIST_ACCEPTED);
-            EndpointChanges changes = pool.update(list);
+            EndpointChanges changes = endpoints.update(list);
             log.state("endpoints: revision " + list.revision() + (list.complete() ? " complete: " : ": ") + changes);
             ListKind kind = list.complete() ? ListKind.COMPLETE : ListKind.CHANGES;
             events.deliver(() -> events.policy().endpointsUpdated(now(), kind, list.upstreams()));
@@ -118,28 +141,29 @@
 
         @Override
         public void confirmed() {
-            confirmedList.confirmed();
+            initialListBarrier.listConfirmed();
         }
 
         @Override
         public void unavailable() {
-            events.deliver(() -> events.policy().endpointsUpdated(now(), ListKind.UNAVAILABLE, List.of()));
+            events.deliver(() -> events.policy().endpointsUnavailable(now()));
         }
     }
 
     /** Takes over what may change without a restart, from a configuration that was read again. */
     void reload(BalancerConfig changed) {
-        List<String> fixed = config.needRestart(changed);
-        if (!fixed.isEmpty()) {
-            log.line("reload: " + String.join(", ", fixed) + " stay as they are until a restart");
+        List<String> fieldsThatNeedRestart = config.needRestart(changed);
+        if (!fieldsThatNeedRestart.isEmpty()) {
+            log.line("reload: changes to " + String.join(", ", fieldsThatNeedRestart) + " are ignored until a restart");
         }
         log.line("reload: discovery at " + changed.discovery());
         discovery.moveTo(changed.discovery());
     }
 
-    /** Whether clients may be taken: discovery has answered, or the configured list has to do. */
+    /** Whether to accept clients: discovery has answered, or its time is over and the configured list is used. */
     boolean ready() {
-        return discovery.listed() || !config.known().members().isEmpty() && confirmedList.released();
+        return discovery.hasList()
+                || !config.configuredEndpoints().members().isEmpty() && initialListBarrier.isReleased();
     }
 
     // ---- For the frontend ----------------------------------------------------------------------------
@@ -190,8 +214,8 @@
 
     // ---- Graceful shutdown ---------------------------------------------------------------------------
 
-    /** The longest that clients wait for a response, in microseconds, as far as the platform waits for it. */
-    long longestDeadline() {
+    /** The longest that clients wait for a response, as far as the platform waits for it. */
+    long longestDeadlineMicros() {
         long longest = settings.classes().stream()
                 .mapToLong(LoadBalancingPolicy.RequestClass::clientTimeoutMicros)
                 .max()
@@ -199,9 +223,9 @@
         return Math.min(MAX_DEADLINE_MICROS, longest);
     }
 
-    /** No response is out later than {@code lastResponse}, and requests are rejected from {@code lastRequest} on. */
-    void limitTimes(long lastResponse, long lastRequest) {
-        exchanges.limitTimes(lastResponse, lastRequest);
+    /** No response is out after the first time, and requests are rejected from the second on. */
+    void limitTimes(long lastResponseMicros, long lastRequestMicros) {
+        exchanges.limitTimes(lastResponseMicros, lastRequestMicros);
     }
 
     /** Ends what is still open, just before the process is killed. */
@@ -217,8 +241,9 @@
     /** Logs how much memory streamed bodies have used, where they are on. */
     void reportBodies() {
         if (bodies.streaming()) {
-            log.line("bodies: at most " + budget.largest() + " of " + bodies.ceiling()
-                    + " bytes held for one in a direction, " + budget.rejected() + " refused for want of room");
+            log.line("bodies: peak of " + budget.largest() + " of " + bodies.ceiling()
+                    + " bytes buffered for one direction of a transfer; " + budget.rejected()
+                    + " rejected because the buffer budget was used up");
         }
     }
 
--- a/src/test/java/sedgeyoke/consensus/server/SimulatedReplica.java
+++ b/src/test/java/sedgeyoke/consensus/server/SimulatedReplica.java
@@ -140,6 +140,10 @@
             crash(simulation.now() + 500_000);
             return;
         }
+        startNode();
+    }
+
+    private void startNode() {
         disk.staleReadFile = null;
         hasLatentFault = disk.misdirectNextWrite || disk.loseNextWrite; // then the fault is still to come
         RaftNode.StoredState stored = storage.recovered();
@@ -200,33 +204,37 @@
             return;
         }
         for (Action action : actions) {
-            if (action instanceof Action.Send send) {
+            carryOut(action);
+        }
+    }
+
+    private void carryOut(Action action) {
+        if (action instanceof Action.Send send) {
+            simulation.sendMessage(
+                    number,
+                    simulation.replica(send.to()).number,
+                    new SimulationMessages.ReplicaMessage(name, storage.storageId(), send.message()));
+        } else if (action instanceof Action.Log line) {
+            simulation.log(name + " logs: " + line.line());
+        } else if (action instanceof Action.Persist persist) {
+            pendingWrites.add(persist);
+        } else if (action instanceof Action.Respond respond) {
+            Integer receiver = requestOrigins.remove(respond.token());
+            Long clientToken = clientTokens.remove(respond.token());
+            if (receiver != null) {
+                simulation.sendMessage(
+                        number, receiver, new SimulationMessages.ResultMessage(clientToken, respond.result()));
+            }
+        } else if (action instanceof Action.SendLease lease) {
+            Integer receiver = leaseOrigins.get(lease.response().balancer());
+            if (receiver != null) {
                 simulation.sendMessage(
                         number,
-                        simulation.replica(send.to()).number,
-                        new SimulationMessages.ReplicaMessage(name, storage.storageId(), send.message()));
-            } else if (action instanceof Action.Log line) {
-                simulation.log(name + " logs: " + line.line());
-            } else if (action instanceof Action.Persist persist) {
-                pendingWrites.add(persist);
-            } else if (action instanceof Action.Respond respond) {
-                Integer receiver = requestOrigins.remove(respond.token());
-                Long clientToken = clientTokens.remove(respond.token());
-                if (receiver != null) {
-                    simulation.sendMessage(
-                            number, receiver, new SimulationMessages.ResultMessage(clientToken, respond.result()));
-                }
-            } else if (action instanceof Action.SendLease lease) {
-                Integer receiver = leaseOrigins.get(lease.response().balancer());
-                if (receiver != null) {
-                    simulation.sendMessage(
-                            number,
-                            receiver,
-                            new SimulationMessages.LeaseResponseMessage(
-                                    lease.response(),
-                                    version(lease.response().activeVersion()),
-                                    version(lease.response().pendingVersion())));
-                }
+                        receiver,
+                        new SimulationMessages.LeaseResponseMessage(
+                                lease.response(),
+                                version(lease.response().activeVersion()),
+                                version(lease.response().pendingVersion())));
             }
         }
     }
