--- /dev/null
+++ b/src/main/java/sedgeyoke/cli/SeedOption.java
@@ -0,0 +1,13 @@
+package sedgeyoke.cli;
+
+import picocli.CommandLine.Option;
+
+/** The option that names the seed of a drill. */
+final class SeedOption {
+    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "default: ${DEFAULT-VALUE}")
+    private long seed;
+
+    long seed() {
+        return seed;
+    }
+}
