--- a/src/main/java/sedgeyoke/simulation/SimulatedPolicyActions.java
+++ b/src/main/java/sedgeyoke/simulation/SimulatedPolicyActions.java
@@ -82,9 +82,10 @@
     }
 
     @Override
-    public void setTimer(String token, long delay) {
+    public void setTimer(LoadBalancingPolicy.Timer timer, long delayMicros) {
         process.schedule(
-                delay, () -> forwarder.deliver(() -> forwarder.policy().timerFired(forwarder.localTime(), token)));
+                delayMicros,
+                () -> forwarder.deliver(() -> forwarder.policy().timerFired(forwarder.localTime(), timer)));
     }
 
     @Override
