--- a/src/main/java/sedgeyoke/drill/PlannersDrill.java
+++ b/src/main/java/sedgeyoke/drill/PlannersDrill.java
@@ -88,7 +88,7 @@
         List<InvariantChecker.Summary> all = List.of(failing, quiet, none);
         int violations =
                 all.stream().mapToInt(InvariantChecker.Summary::ruleViolations).sum();
-        double coldPeak = all.stream()
+        double slowStartPeak = all.stream()
                 .mapToDouble(InvariantChecker.Summary::warmUpPeak)
                 .max()
                 .orElse(0);
@@ -105,7 +105,7 @@
                 .put("service_no_planners", round(none.service()))
                 .put("ratio", round(failing.service() / quiet.service()))
                 .put("rule_violations", violations)
-                .put("cold_peak_share_of_budget", round(coldPeak))
+                .put("cold_peak_share_of_budget", round(slowStartPeak))
                 .put("planner_kills", results.get(Mode.FAILING).plannerKills())
                 .put("requests", failing.requests())
                 .put("p99_ms", round(failing.p99Ms()))
@@ -115,7 +115,7 @@
                 .put("judge_stalled_ms", round(maxStalledMs));
         addViolations(metrics.putArray("violations"), results);
         boolean served = failing.service() >= MIN_SERVICE_RATIO * quiet.service();
-        return metrics.put("ok", served && violations == 0 && coldPeak <= 1);
+        return metrics.put("ok", served && violations == 0 && slowStartPeak <= 1);
     }
 
     private static void addViolations(ArrayNode array, Map<Mode, PlannersRun.Result> results) {
--- a/src/main/java/sedgeyoke/drill/soak/SystemFaults.java
+++ b/src/main/java/sedgeyoke/drill/soak/SystemFaults.java
@@ -29,9 +29,9 @@
         SOCKET_ERROR,
         /** The error number of {@code accept}. */
         ACCEPT_ERROR,
-        /** Every so-manieth wait is interrupted. */
+        /** One wait in this many is interrupted. */
         INTERRUPT_EVERY,
-        /** Most bytes of one read or write on a socket. */
+        /** The most bytes that one read or write on a socket transfers. */
         MOST_BYTES,
         /** The error number of writes and syncs on regular files. */
         FILE_ERROR
--- a/src/main/java/sedgeyoke/model/DrainRule.java
+++ b/src/main/java/sedgeyoke/model/DrainRule.java
@@ -8,7 +8,7 @@
  * ready. The period is the site's {@code drainGraceMs}, extended by the time in which the checker itself stood still.
  */
 final class DrainRule {
-    /** After a balancer was told to use another discovery, it counts as notified of nothing for this long. */
+    /** After a balancer was configured to use another discovery, it counts as notified of nothing for this long. */
     private static final long DISCOVERY_CHANGE_MICROS = 4_000_000;
 
     private final ViolationLog violations;
@@ -42,7 +42,7 @@
         notReadySinceMicros.computeIfAbsent(balancer, name -> new HashMap<>()).putIfAbsent(node, knownMicros);
     }
 
-    /** A balancer was told to use another discovery, which may take it a while. */
+    /** A balancer was configured to use another discovery, and may take a while to do so. */
     void discoveryChanged(String balancer, long nowMicros) {
         discoveryChangedMicros.put(balancer, nowMicros);
     }
--- a/src/main/java/sedgeyoke/model/InvariantChecker.java
+++ b/src/main/java/sedgeyoke/model/InvariantChecker.java
@@ -60,7 +60,7 @@
     /**
      * Metrics of a run.
      *
-     * @param requests what clients asked for, without their retries
+     * @param requests requests of clients, without their retries
      * @param service weight of the requests served within their latency objective over the weight of all requests
      * @param p50Ms median latency of served requests
      * @param p99Ms 99th percentile of it
@@ -210,7 +210,7 @@
         }
     }
 
-    /** A balancer was told to use another discovery. */
+    /** A balancer was configured to use another discovery. */
     public void discoveryMoved(String balancer, long nowMicros) {
         drainRule.discoveryChanged(balancer, nowMicros);
     }
--- a/src/main/java/sedgeyoke/model/MarginHistogram.java
+++ b/src/main/java/sedgeyoke/model/MarginHistogram.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How much of a limit was used, by tenths of it: a rule that is kept by little is a finding, too. */
+/** How much of a limit was used, by tenths of it: a limit that is almost reached is a finding, too. */
 public final class MarginHistogram {
     private static final int TENTHS = 10;
 
--- a/src/main/java/sedgeyoke/model/WarmUpGuard.java
+++ b/src/main/java/sedgeyoke/model/OverloadDetector.java
@@ -4,10 +4,10 @@
 import java.util.Deque;
 
 /**
- * The rule on nodes that warm up: one that is sent more than a multiple of its present capacity over a window fails.
- * All work that arrives counts, rejected work too.
+ * Detects that a node in slow start is overloaded: it was sent more than a multiple of its present capacity over a
+ * window, both of which the site's rules set. All work that arrives counts, rejected work too.
  */
-final class WarmUpGuard {
+final class OverloadDetector {
     /** Tolerance for chance, in requests of mean work. */
     private static final double SLACK_REQUESTS = 2;
 
@@ -15,7 +15,7 @@
     private final Deque<Arrival> window = new ArrayDeque<>();
     private double windowWork;
 
-    WarmUpGuard(SiteModel site) {
+    OverloadDetector(SiteModel site) {
         this.site = site;
     }
 
--- a/src/main/java/sedgeyoke/model/ServiceMetrics.java
+++ b/src/main/java/sedgeyoke/model/ServiceMetrics.java
@@ -34,7 +34,7 @@
         latenciesMicros[latencyCount++] = latencyMicros;
     }
 
-    /** What clients asked for, without their retries. */
+    /** Requests of clients, without their retries. */
     long offeredRequests() {
         return offeredRequests;
     }
--- a/src/main/java/sedgeyoke/model/SlowStartRule.java
+++ b/src/main/java/sedgeyoke/model/SlowStartRule.java
@@ -1,8 +1,8 @@
 package sedgeyoke.model;
 
 /**
- * Rule 4: no node in slow start is sent more than what overloads it. {@link WarmUpGuard} has the bound, a multiple of
- * the node's present capacity over a window; this class only records what the nodes report of it.
+ * Rule 4: no node in slow start is sent more than what overloads it. {@link OverloadDetector} has the bound, a multiple
+ * of the node's present capacity over a window; this class only records what the nodes report of it.
  */
 final class SlowStartRule {
     private final ViolationLog violations;
--- a/src/main/java/sedgeyoke/model/UpstreamModel.java
+++ b/src/main/java/sedgeyoke/model/UpstreamModel.java
@@ -34,7 +34,7 @@
 
     private final Deque<Job> queue = new ArrayDeque<>();
     private final SharedCores<Job> cores;
-    private final WarmUpGuard warmUpGuard;
+    private final OverloadDetector overloadDetector;
     private final WarmKeyCache warmKeys = new WarmKeyCache();
     private long launchedMicros;
     private boolean unresponsive;
@@ -128,7 +128,7 @@
         this.executedKeys = executedKeys;
         this.random = new SplittableRandom(seed ^ spec.id().hashCode());
         this.cores = new SharedCores<>(spec.cores());
-        this.warmUpGuard = new WarmUpGuard(site);
+        this.overloadDetector = new OverloadDetector(site);
     }
 
     /** Starts the load reports, at a random phase. */
@@ -233,7 +233,7 @@
     public void restart() {
         loseInFlight();
         warmKeys.clear();
-        warmUpGuard.clear();
+        overloadDetector.clear();
         unresponsive = false;
         draining = false;
         overloaded = false;
@@ -321,7 +321,7 @@
         if (launchedMicros == 0 || warmth >= 1) {
             return;
         }
-        double load = warmUpGuard.add(work, nowMicros, warmth, spec.capacity());
+        double load = overloadDetector.add(work, nowMicros, warmth, spec.capacity());
         checker.warmUpLoad(load);
         if (load > 1 && !overloaded) {
             overloaded = true;
--- a/src/main/java/sedgeyoke/simulation/SlowStartMeasure.java
+++ b/src/main/java/sedgeyoke/simulation/SlowStartMeasure.java
@@ -6,19 +6,21 @@
 import java.util.Map;
 
 /**
- * Measures how soon upstreams that started cold get their share of the traffic: the first sample at which one received,
- * over a window, enough of what its full capacity entitles it to.
+ * Measures how long upstreams are in slow start: until the first sample at which one received, over a window, enough of
+ * what its full capacity entitles it to.
  */
 final class SlowStartMeasure {
     static final long INTERVAL_MICROS = 250_000;
     private static final int WINDOW_SAMPLES = 4;
-    /** Share of the entitled traffic that is enough. */
-    private static final double ENOUGH = 0.8;
+    /** Avoids a division by zero where no upstream runs. */
+    private static final double MIN_CAPACITY = 1e-9;
+    /** An upstream that receives this share of the traffic it is entitled to has ended its slow start. */
+    private static final double SUFFICIENT_SHARE = 0.8;
 
     private final SimulationContext context;
     private final SimulatedUpstreams upstreams;
-    private final Map<StartKey, ColdStart> starts = new LinkedHashMap<>();
-    private final Map<String, RequestWindow> windows = new LinkedHashMap<>();
+    private final Map<StartKey, SlowStart> starts = new LinkedHashMap<>();
+    private final Map<String, ReceivedWindow> windows = new LinkedHashMap<>();
 
     /** Identifies one process of an upstream. */
     private record StartKey(String upstream, long launchedAtMicros) {
@@ -27,20 +29,20 @@
         }
     }
 
-    /** One cold start, and when the upstream had its share. */
-    private static final class ColdStart {
+    /** One slow start, and when the upstream had its share. */
+    private static final class SlowStart {
         private static final long NOT_YET = Long.MAX_VALUE;
 
         private final long launchedAtMicros;
         private long completedAtMicros = NOT_YET;
 
-        ColdStart(long launchedAtMicros) {
+        SlowStart(long launchedAtMicros) {
             this.launchedAtMicros = launchedAtMicros;
         }
     }
 
     /** Counts of an upstream's requests at the last samples, the newest first. */
-    private static final class RequestWindow {
+    private static final class ReceivedWindow {
         private final long[] counts = new long[WINDOW_SAMPLES + 1];
 
         void add(long count) {
@@ -64,7 +66,7 @@
         double totalReceived = 0;
         double totalCapacity = 0;
         for (SimulatedUpstream upstream : upstreams.running()) {
-            RequestWindow window = windows.computeIfAbsent(upstream.id(), id -> new RequestWindow());
+            ReceivedWindow window = windows.computeIfAbsent(upstream.id(), id -> new ReceivedWindow());
             window.add(upstream.requestsReceived());
             if (!upstream.model().draining()) {
                 totalReceived += window.received();
@@ -72,31 +74,31 @@
             }
             long launchedAtMicros = upstream.model().launchedAtMicros();
             if (launchedAtMicros > SimulationContext.START) {
-                starts.computeIfAbsent(StartKey.of(upstream), key -> new ColdStart(launchedAtMicros));
+                starts.computeIfAbsent(StartKey.of(upstream), key -> new SlowStart(launchedAtMicros));
             }
         }
         for (SimulatedUpstream upstream : upstreams.running()) {
             double capacity = upstream.model().spec().capacity();
-            completeIfWarm(upstream, totalReceived * capacity / Math.max(totalCapacity, 1e-9));
+            completeIfWarm(upstream, totalReceived * capacity / Math.max(totalCapacity, MIN_CAPACITY));
         }
     }
 
     private void completeIfWarm(SimulatedUpstream upstream, double entitled) {
-        ColdStart start = starts.get(StartKey.of(upstream));
+        SlowStart start = starts.get(StartKey.of(upstream));
         long now = context.events.now();
         boolean fullWindow = start != null && now - start.launchedAtMicros >= WINDOW_SAMPLES * INTERVAL_MICROS;
         if (fullWindow
-                && start.completedAtMicros == ColdStart.NOT_YET
+                && start.completedAtMicros == SlowStart.NOT_YET
                 && entitled > 0
-                && windows.get(upstream.id()).received() >= ENOUGH * entitled) {
+                && windows.get(upstream.id()).received() >= SUFFICIENT_SHARE * entitled) {
             start.completedAtMicros = now;
         }
     }
 
-    /** Seconds that each cold start took; one that is not complete counts up to now. */
+    /** Seconds that each slow start took; one that is not complete counts up to now. */
     List<Double> durationsSeconds() {
         List<Double> durations = new ArrayList<>();
-        for (ColdStart start : starts.values()) {
+        for (SlowStart start : starts.values()) {
             long endMicros = Math.min(start.completedAtMicros, context.events.now());
             durations.add((endMicros - start.launchedAtMicros) / 1e6);
         }
