--- /dev/null
+++ b/src/test/java/sedgeyoke/policy/PolicyFixtures.java
@@ -0,0 +1,116 @@
+package sedgeyoke.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import sedgeyoke.policy.LoadBalancingPolicy.Effect;
+import sedgeyoke.policy.LoadBalancingPolicy.LoadReport;
+import sedgeyoke.policy.LoadBalancingPolicy.Request;
+import sedgeyoke.policy.LoadBalancingPolicy.Settings;
+import sedgeyoke.policy.LoadBalancingPolicy.State;
+import sedgeyoke.policy.LoadBalancingPolicy.Upstream;
+
+/** The modules of a policy, upstreams and requests for tests of one module. Traffic is dense at first. */
+final class PolicyFixtures {
+    static final long SECOND = PolicyHarness.SECOND;
+    static final long MILLI = PolicyHarness.MILLI;
+    static final long NOW = 100 * SECOND;
+
+    final Settings settings;
+    /** Records the actions of the modules. */
+    final PolicyHarness actions = new PolicyHarness();
+
+    final Jitter jitter = new Jitter(new SplittableRandom(1));
+    final TrafficRegimeSelector regimes;
+    final ZonePreference zones;
+    final ResponseTimes responseTimes;
+    final RequestRates rates;
+    final LoadReports reports;
+    final RequestCosts costs;
+    final UpstreamRatings ratings;
+    final AdmissionControl admission;
+    final PlanBlend plans;
+    final SlowStart slowStart;
+    final ConcurrencyLimits limits;
+    final OutlierDetection outliers;
+    final Deadlines deadlines;
+    final UpstreamTable upstreams;
+    private long requestNumber;
+
+    PolicyFixtures(PolicyHarness.Config config) {
+        settings = config.settings();
+        SplittableRandom random = new SplittableRandom(2);
+        regimes = new TrafficRegimeSelector(settings.groupSize());
+        zones = new ZonePreference(settings);
+        responseTimes = new ResponseTimes(settings);
+        rates = new RequestRates(settings);
+        reports = new LoadReports(settings, responseTimes);
+        costs = new RequestCosts(settings, responseTimes, rates);
+        ratings = new UpstreamRatings(settings, reports, regimes);
+        admission = new AdmissionControl(settings, random, regimes, responseTimes);
+        plans = new PlanBlend(settings, zones);
+        slowStart = new SlowStart(settings, random, plans, admission, rates, costs, ratings);
+        limits = new ConcurrencyLimits(settings, regimes, responseTimes, reports, slowStart);
+        outliers = new OutlierDetection(settings, regimes, responseTimes);
+        deadlines = new Deadlines(settings);
+        upstreams = new UpstreamTable(settings, slowStart, limits, zones, regimes);
+        dense();
+    }
+
+    PolicyFixtures() {
+        this(new PolicyHarness.Config());
+    }
+
+    void dense() {
+        regimes.readyUpstreams(settings.groupSize());
+    }
+
+    void sparse() {
+        regimes.readyUpstreams(settings.groupSize() - 1);
+    }
+
+    /** A ready upstream that launched long ago; its zone is its number modulo 3. */
+    UpstreamState upstream(int number) {
+        return upstream(PolicyHarness.upstream(number, State.READY, 0));
+    }
+
+    UpstreamState upstream(Upstream endpoint) {
+        return new UpstreamState(endpoint, 0, limits.newState(), slowStart.listed(endpoint, NOW));
+    }
+
+    List<UpstreamState> upstreams(int count) {
+        List<UpstreamState> created = new ArrayList<>();
+        for (int number = 0; number < count; number++) {
+            created.add(upstream(number));
+        }
+        return created;
+    }
+
+    /** A request without a work hint that arrives now and has two seconds left. */
+    RequestState request(Effect effect) {
+        return request(effect, 0);
+    }
+
+    RequestState request(Effect effect, long expectedWork) {
+        int classIndex = effect.ordinal();
+        String id = "r" + requestNumber;
+        Request request = new Request(id, classIndex, 0, null, expectedWork, 2 * SECOND, false, false);
+        return request(request);
+    }
+
+    RequestState request(Request request) {
+        return new RequestState(request, settings.classes().get(request.classIndex()), requestNumber++, NOW);
+    }
+
+    /** Begins an attempt of the request; both the request and the upstream count it. */
+    static Attempt begin(RequestState request, UpstreamState upstream, long nowMicros) {
+        Attempt attempt = new Attempt(upstream, nowMicros);
+        request.begin(attempt);
+        upstream.inFlight.begin(attempt, request.cost);
+        return attempt;
+    }
+
+    static LoadReport serviceTimeReport(double serviceTimeMicros) {
+        return new LoadReport(0.5, Double.NaN, Double.NaN, serviceTimeMicros, Double.NaN, Double.NaN);
+    }
+}
