--- a/src/test/java/sedgeyoke/policy/PolicyFixtures.java
+++ b/src/test/java/sedgeyoke/policy/PolicyFixtures.java
@@ -62,11 +62,11 @@
     }
 
     void dense() {
-        regimes.readyUpstreams(settings.groupSize());
+        regimes.setReadyUpstreams(settings.groupSize());
     }
 
     void sparse() {
-        regimes.readyUpstreams(settings.groupSize() - 1);
+        regimes.setReadyUpstreams(settings.groupSize() - 1);
     }
 
     /** A ready upstream that launched long ago; its zone is its number modulo 3. */
@@ -75,7 +75,7 @@
     }
 
     UpstreamState upstream(Upstream endpoint) {
-        return new UpstreamState(endpoint, 0, limits.newState(), slowStart.listed(endpoint, NOW));
+        return new UpstreamState(endpoint, 0, limits.newState(), slowStart.newState(endpoint, NOW));
     }
 
     List<UpstreamState> upstreams(int count) {
--- a/src/test/java/sedgeyoke/policy/TrafficRegimeTest.java
+++ b/src/test/java/sedgeyoke/policy/TrafficRegimeTest.java
@@ -18,9 +18,9 @@
     void trafficIsSparseWithMoreBalancersThanReadyUpstreams() {
         TrafficRegimeSelector regimes = new TrafficRegimeSelector(3);
         assertEquals(SPARSE, regimes.current());
-        regimes.readyUpstreams(2);
+        regimes.setReadyUpstreams(2);
         assertEquals(SPARSE, regimes.current());
-        regimes.readyUpstreams(3);
+        regimes.setReadyUpstreams(3);
         assertEquals(DENSE, regimes.current());
     }
 
