--- a/src/test/java/sedgeyoke/proxy/LeavingClientsTest.java
+++ b/src/test/java/sedgeyoke/proxy/ClientDisconnectsTest.java
@@ -21,20 +21,20 @@
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
 
 /**
- * Clients that leave while their requests wait, in each place where one may wait: whatever the policy decides after
- * that, nothing of it reaches an upstream. Where the crossing lies is set by the test: the policy sends only once it
- * knows that the clients have left, or the loop is blocked while they leave.
+ * Clients that disconnect while their requests wait, in each place where one may wait: nothing of such a request
+ * reaches an upstream afterwards. Each test decides when the two events meet: the policy sends once it knows that the
+ * clients have disconnected, or the loop is blocked while they do.
  */
-class LeavingClientsTest {
+class ClientDisconnectsTest {
     private static final int CLIENTS = 210;
     private static final int FAR_TOO_MUCH = 300_000;
     private ScriptedPolicy policy;
 
-    /** How a client leaves. */
-    private enum Leaving {
+    /** How a client disconnects. */
+    private enum Disconnect {
         FIN,
         RST,
-        /** It ends its sending side only: the end of one that has gone looks the same, and is taken for it. */
+        /** It ends its sending side only: the end of one that has disconnected looks the same, and is taken for it. */
         HALF,
         /** Behind its request it has sent another one, a part of one, and more than is buffered. */
         FIN_BEHIND_ANOTHER,
@@ -43,7 +43,7 @@
         FIN_BEHIND_TOO_MUCH,
         RST_BEHIND_TOO_MUCH;
 
-        private void leave(Socket socket, String id) throws IOException {
+        private void disconnect(Socket socket, String id) throws IOException {
             String next = Loopback.request(id + "-next", "order", 20_000);
             if (name().endsWith("ANOTHER")) {
                 ScriptedServer.write(socket, next);
@@ -75,7 +75,7 @@
                 .start();
     }
 
-    private List<Socket> clients(Loopback lb, Leaving how) throws IOException {
+    private List<Socket> clients(Loopback lb, Disconnect how) throws IOException {
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             Socket socket = lb.connect();
@@ -85,13 +85,13 @@
         return sockets;
     }
 
-    private static Set<String> ids(Leaving how) {
+    private static Set<String> ids(Disconnect how) {
         return IntStream.range(0, CLIENTS).mapToObj(i -> how + "-" + i).collect(Collectors.toSet());
     }
 
-    private static void leave(List<Socket> sockets, Leaving how) throws IOException {
+    private static void disconnect(List<Socket> sockets, Disconnect how) throws IOException {
         for (int i = 0; i < sockets.size(); i++) {
-            how.leave(sockets.get(i), how + "-" + i);
+            how.disconnect(sockets.get(i), how + "-" + i);
         }
     }
 
@@ -108,21 +108,21 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Leaving.class)
-    void whileTheRequestIsQueued(Leaving how) throws Exception {
+    @EnumSource(Disconnect.class)
+    void whileTheRequestIsQueued(Disconnect how) throws Exception {
         try (ScriptedServer upstream = ScriptedServer.serving("x");
                 Loopback lb = start(upstream)) {
             Set<String> queued = java.util.concurrent.ConcurrentHashMap.newKeySet();
             policy.onRequest = (m, r) -> queued.add(r.id());
             List<Socket> sockets = clients(lb, how);
             Loopback.await("all are queued", () -> queued.equals(ids(how)));
-            leave(sockets, how);
-            Loopback.await("all have gone", () -> new HashSet<>(policy.gone).equals(ids(how)));
+            disconnect(sockets, how);
+            Loopback.await("all have disconnected", () -> new HashSet<>(policy.gone).equals(ids(how)));
             lb.loop
                     .submit(() -> queued.forEach(id -> policy.actions.send(id, "u", 0)))
                     .sync();
             assertOnlyTheLastIsSent(lb, upstream);
-            if (how == Leaving.HALF) {
+            if (how == Disconnect.HALF) {
                 assertNull(Loopback.answer(sockets.get(0)), "the connection ends without a response");
             }
         }
@@ -131,9 +131,9 @@
     /** The first attempt of each is rejected, and the policy waits before it retries. */
     @ParameterizedTest
     @EnumSource(
-            value = Leaving.class,
+            value = Disconnect.class,
             names = {"FIN", "RST", "FIN_BEHIND_ANOTHER"})
-    void whileARetryWaits(Leaving how) throws Exception {
+    void whileARetryWaits(Disconnect how) throws Exception {
         try (ScriptedServer full = new ScriptedServer(
                         (request, socket) -> ScriptedServer.reply(socket, 503, "", "X-Rejected: 1"));
                 ScriptedServer upstream = ScriptedServer.serving("x");
@@ -142,8 +142,8 @@
             policy.onRequest = (m, r) -> m.actions.send(r.id(), "full", 0);
             List<Socket> sockets = clients(lb, how);
             Loopback.await("all were rejected", () -> policy.ends.size() == CLIENTS);
-            leave(sockets, how);
-            Loopback.await("all have gone", () -> new HashSet<>(policy.gone).equals(ids(how)));
+            disconnect(sockets, how);
+            Loopback.await("all have disconnected", () -> new HashSet<>(policy.gone).equals(ids(how)));
             lb.loop
                     .submit(() -> ids(how).forEach(id -> policy.actions.send(id, "u", 0)))
                     .sync();
@@ -151,12 +151,12 @@
         }
     }
 
-    /** The loop has begun to connect and is paused until the clients have gone and the connections are up. */
+    /** The loop has begun to connect and is paused until the clients have disconnected and the connections are up. */
     @ParameterizedTest
     @EnumSource(
-            value = Leaving.class,
+            value = Disconnect.class,
             names = {"FIN", "RST", "FIN_BEHIND_ANOTHER"})
-    void whileTheUpstreamConnectionIsEstablished(Leaving how) throws Exception {
+    void whileTheUpstreamConnectionIsEstablished(Disconnect how) throws Exception {
         try (ScriptedServer upstream = ScriptedServer.serving("x");
                 Loopback lb = start(upstream)) {
             Set<String> queued = java.util.concurrent.ConcurrentHashMap.newKeySet();
@@ -166,9 +166,9 @@
             whileLoopIsPaused(
                     lb,
                     () -> queued.forEach(id -> policy.actions.send(id, "u", 0)),
-                    () -> leave(sockets, how),
-                    LeavingClientsTest::late);
-            Loopback.await("all have gone", () -> new HashSet<>(policy.gone).equals(ids(how)));
+                    () -> disconnect(sockets, how),
+                    ClientDisconnectsTest::late);
+            Loopback.await("all have disconnected", () -> new HashSet<>(policy.gone).equals(ids(how)));
             assertOnlyTheLastIsSent(lb, upstream);
         }
     }
@@ -176,13 +176,13 @@
     /** What the loop reads first when it goes on are requests whose clients' ends lie right behind them. */
     @ParameterizedTest
     @EnumSource(
-            value = Leaving.class,
+            value = Disconnect.class,
             names = {"FIN", "RST", "FIN_BEHIND_ANOTHER", "FIN_BEHIND_A_PART"})
-    void inTheSameReadAsTheRequest(Leaving how) throws Exception {
+    void inTheSameReadAsTheRequest(Disconnect how) throws Exception {
         try (ScriptedServer upstream = ScriptedServer.serving("x");
                 Loopback lb = start(upstream)) {
             policy.onRequest = (m, r) -> m.actions.send(r.id(), "u", 0);
-            whileLoopIsPaused(lb, () -> {}, () -> leave(clients(lb, how), how), () -> {});
+            whileLoopIsPaused(lb, () -> {}, () -> disconnect(clients(lb, how), how), () -> {});
             Loopback.await("none is left", () -> lb.server.clients() == 0);
             assertOnlyTheLastIsSent(lb, upstream);
         }
@@ -191,20 +191,20 @@
     /** A timer is due when the loop goes on, and the policy sends before anything that came meanwhile is read. */
     @ParameterizedTest
     @EnumSource(
-            value = Leaving.class,
+            value = Disconnect.class,
             names = {"FIN", "RST", "FIN_BEHIND_ANOTHER"})
-    void whileTheLoopIsBlocked(Leaving how) throws Exception {
+    void whileTheLoopIsBlocked(Disconnect how) throws Exception {
         try (ScriptedServer upstream = ScriptedServer.serving("x");
                 Loopback lb = start(upstream)) {
             Set<String> queued = java.util.concurrent.ConcurrentHashMap.newKeySet();
             policy.onRequest = (m, r) -> queued.add(r.id());
             List<Socket> sockets = clients(lb, how);
             Loopback.await("all are queued", () -> queued.equals(ids(how)));
-            whileLoopIsPaused(lb, () -> {}, () -> leave(sockets, how), () -> {
+            whileLoopIsPaused(lb, () -> {}, () -> disconnect(sockets, how), () -> {
                 late();
                 queued.forEach(id -> policy.actions.send(id, "u", 0));
             });
-            Loopback.await("all have gone", () -> new HashSet<>(policy.gone).equals(ids(how)));
+            Loopback.await("all have disconnected", () -> new HashSet<>(policy.gone).equals(ids(how)));
             assertOnlyTheLastIsSent(lb, upstream);
         }
     }
@@ -215,9 +215,9 @@
      */
     @ParameterizedTest
     @EnumSource(
-            value = Leaving.class,
+            value = Disconnect.class,
             names = {"FIN", "RST"})
-    void whileALongBodyIsBuffered(Leaving how) throws Exception {
+    void whileALongBodyIsBuffered(Disconnect how) throws Exception {
         BodyLimits limits =
                 new BodyLimits(true, 64 * 1024, 64L << 20, 0, 1_000_000, 30_000_000, 30_000_000, 1L << 40, 0);
         String body = "w".repeat(100_000);
@@ -237,12 +237,12 @@
                 sockets.add(socket);
             }
             Loopback.await("all are queued", () -> queued.equals(ids(how)));
-            leave(sockets, how);
+            disconnect(sockets, how);
             int sent = 0;
             for (String id : queued) { // one by one: a burst of new connections is not what this is about
-                int gone = ++sent;
+                int expected = ++sent;
                 lb.loop.submit(() -> policy.actions.send(id, "u", 0)).sync();
-                Loopback.await("it has gone", () -> policy.gone.size() >= gone);
+                Loopback.await("it has disconnected", () -> policy.gone.size() >= expected);
             }
             assertEquals(ids(how), new HashSet<>(policy.gone));
             assertOnlyTheLastIsSent(lb, upstream);
--- a/src/test/java/sedgeyoke/proxy/RudeClientsTest.java
+++ b/src/test/java/sedgeyoke/proxy/MisbehavingClientsTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that send what cannot be served, half of something, nothing, or more than they read. */
-class RudeClientsTest {
-    private static final int CROSSED = 30;
+/** Clients that send invalid or incomplete requests, send nothing, or do not read their responses. */
+class MisbehavingClientsTest {
+    private static final int CLIENTS_PER_ROUND = 30;
 
     private static Loopback serving(ScriptedServer upstream) throws Exception {
         return Loopback.setup().upstream("u", upstream.address()).start();
@@ -209,7 +209,7 @@
                 }
             }
             Loopback.await("all taken", () -> lb.health() == 200);
-            Loopback.await("all gone", () -> lb.server.clients() == 0);
+            Loopback.await("all disconnected", () -> lb.server.clients() == 0);
             assertEquals(200, lb.ask("id-1", "order", 60_000).status());
         }
     }
@@ -237,39 +237,39 @@
                         })
                         .start()) {
             for (int round = 0; round < 2; round++) { // 32 may be busy with so few sockets
-                crossAnswers(lb, upstream, answer, answered);
+                answerClosedConnections(lb, upstream, answer, answered);
             }
             answer.release();
             assertEquals(200, lb.ask("last", "order", 60_000).status());
         }
     }
 
-    /** Has clients close and their answers come while the loop is paused: it then meets both at once. */
-    private static void crossAnswers(Loopback lb, ScriptedServer upstream, Semaphore answer, AtomicInteger answered)
-            throws Exception {
+    /** Clients close and their responses come while the loop is paused, so that it finds both in one pass. */
+    private static void answerClosedConnections(
+            Loopback lb, ScriptedServer upstream, Semaphore answer, AtomicInteger answered) throws Exception {
         int before = answered.get();
         List<Socket> clients = new ArrayList<>();
-        for (int i = 0; i < CROSSED; i++) {
+        for (int i = 0; i < CLIENTS_PER_ROUND; i++) {
             Socket client = lb.connect();
             ScriptedServer.write(client, Loopback.request("id-" + before + "-" + i, "order", 60_000));
             clients.add(client);
             int sent = before + i + 1;
             Loopback.await("sent", () -> upstream.requests.size() == sent);
         }
-        CountDownLatch stalled = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch loopPaused = new CountDownLatch(1);
+        CountDownLatch resumeLoop = new CountDownLatch(1);
         lb.loop.execute(() -> {
-            stalled.countDown();
-            awaitQuietly(goOn);
+            loopPaused.countDown();
+            awaitQuietly(resumeLoop);
         });
-        stalled.await();
+        loopPaused.await();
         for (Socket client : clients) {
             client.close();
         }
-        answer.release(CROSSED);
-        Loopback.await("all answers under way", () -> answered.get() == before + CROSSED);
-        goOn.countDown();
-        Loopback.await("all gone", () -> lb.server.clients() == 0);
+        answer.release(CLIENTS_PER_ROUND);
+        Loopback.await("all answers under way", () -> answered.get() == before + CLIENTS_PER_ROUND);
+        resumeLoop.countDown();
+        Loopback.await("all disconnected", () -> lb.server.clients() == 0);
     }
 
     private static void awaitQuietly(CountDownLatch latch) {
--- a/src/test/java/sedgeyoke/proxy/CrossingsTest.java
+++ b/src/test/java/sedgeyoke/proxy/RaceConditionsTest.java
@@ -19,10 +19,10 @@
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
 
 /**
- * What happens where two things meet in the same milliseconds (docs/design/crossings.md). Each meeting is set by the
- * test: a server that waits for a latch, or a loop that is paused until the other side has done its part.
+ * Events that cross on the wire (docs/design/crossings.md). Each test sets their order: by a server that waits for a
+ * latch, or by a loop that is paused until the other side has done its part.
  */
-class CrossingsTest {
+class RaceConditionsTest {
     private static final long MS = 1_000_000;
     private ScriptedPolicy policy;
 
