--- a/src/main/java/sedgeyoke/body/BodyLimits.java
+++ b/src/main/java/sedgeyoke/body/BodyLimits.java
@@ -34,7 +34,7 @@
             new BodyLimits(false, PLATFORM_REQUEST, 0, 0, 2_000_000, 2_000_000, 2_000_000, PLATFORM_REQUEST, 0);
 
     /**
-     * The default where an admin endpoint is configured: bodies of 32 MB in either direction, streamed; up to 64 KiB
+     * The default where an admin endpoint is configured: bodies of 34 MiB in either direction, streamed; up to 64 KiB
      * are buffered, so that they can be sent again.
      */
     public static final BodyLimits OPERATED =
--- a/src/main/java/sedgeyoke/consensus/ClientRequests.java
+++ b/src/main/java/sedgeyoke/consensus/ClientRequests.java
@@ -197,7 +197,7 @@
     private RequestResult rejectionOfContent(ConfigDocument content) {
         List<String> violations =
                 ConfigValidator.violations(state.stateMachine.active().content(), content);
-        return violations.isEmpty() ? null : rejection(RequestResult.Kind.REFUSED, String.join("; ", violations));
+        return violations.isEmpty() ? null : resultForActive(RequestResult.Kind.REFUSED, String.join("; ", violations));
     }
 
     /** A balancer that does not know the schema would act on a part of the version only. */
@@ -206,13 +206,14 @@
         int supported = leases.oldestSchemaVersion();
         return required <= supported
                 ? null
-                : rejection(
+                : resultForActive(
                         RequestResult.Kind.BUSY,
                         "a balancer supports the schema up to version " + supported + ", version " + required
                                 + " is required");
     }
 
-    private RequestResult rejection(RequestResult.Kind kind, String detail) {
+    /** A result with the number of the active version, which a rejected write has to be based on. */
+    private RequestResult resultForActive(RequestResult.Kind kind, String detail) {
         return new RequestResult(kind, state.stateMachine.active().number(), detail);
     }
 
--- a/src/main/java/sedgeyoke/consensus/RecoveryQueries.java
+++ b/src/main/java/sedgeyoke/consensus/RecoveryQueries.java
@@ -29,7 +29,7 @@
 
     /** Sends queries that are due. */
     void tick() {
-        if (!recovery.isRecovered() && recovery.isQueryDue(state.nowMicros)) {
+        if (!recovery.isRecovered() && recovery.takeDueQuery(state.nowMicros)) {
             queryAll();
         } else if (state.leader != null && !state.leader.equals(state.name) && isAnnouncementDue()) {
             announcedAtMicros =
@@ -67,7 +67,7 @@
         if (!state.isLeader() && isWarningDue() || warnedAtMicros == 0) {
             recordWarning();
             outbox.log(from + " reports that this replica " + notice.reason()
-                    + "; it takes part in no decision until it is added ('keepers add')");
+                    + "; it takes part in no decision until it is added ('config-servers add')");
         }
     }
 
--- a/src/main/java/sedgeyoke/consensus/ReplicaRecovery.java
+++ b/src/main/java/sedgeyoke/consensus/ReplicaRecovery.java
@@ -26,9 +26,10 @@
  *       and the versions that it knows to be committed. A committed entry never changes, so these are true, if old.
  * </ul>
  *
- * <p>It withholds its vote: it rejects pre-vote and vote requests, starts no election, and ignores a leader's
- * instruction to start one. It may have forgotten a vote, and a second one in the same term could elect a second
- * leader; it may also have forgotten a committed entry, and its vote could elect a leader without that entry.
+ * <p>It withholds its vote, with the one exception below: it rejects pre-vote and vote requests, starts no election,
+ * and ignores a leader's instruction to start one. It may have forgotten a vote, and a second one in the same term
+ * could elect a second leader; it may also have forgotten a committed entry, and its vote could elect a leader without
+ * that entry.
  *
  * <p>This is safe, as every decision has a majority of recovered replicas, any two majorities share a replica, and a
  * recovered one has forgotten nothing. The exception is a vote once all other voters have replied and less than a
@@ -56,7 +57,7 @@
         /** The disk seems intact; waits for a majority to confirm that. */
         VERIFYING,
         /** Something may be lost; waits until no candidate counts a vote that this replica may have forgotten. */
-        WAITING,
+        WAITING_FOR_OLD_VOTES,
         /** Asks the others what they know. */
         QUERYING,
         /** Has taken over the highest term of the others; waits until its log matches that of the leader. */
@@ -79,7 +80,7 @@
         this.startedAtMicros = nowMicros;
         this.suspectedLoss = suspectedLoss;
         this.dataLost = dataLost;
-        this.recoveryState = suspectedLoss == null ? RecoveryState.VERIFYING : RecoveryState.WAITING;
+        this.recoveryState = suspectedLoss == null ? RecoveryState.VERIFYING : RecoveryState.WAITING_FOR_OLD_VOTES;
         makeQueryDue(nowMicros);
     }
 
@@ -129,9 +130,10 @@
                 .toList();
     }
 
-    /** Whether the others have to be queried now; takes it that they then are. */
-    boolean isQueryDue(long nowMicros) {
-        if (recoveryState == RecoveryState.WAITING && nowMicros - startedAtMicros >= rules.recoveryWaitMicros()) {
+    /** Returns whether the others have to be queried now, and records that they are. */
+    boolean takeDueQuery(long nowMicros) {
+        if (recoveryState == RecoveryState.WAITING_FOR_OLD_VOTES
+                && nowMicros - startedAtMicros >= rules.recoveryWaitMicros()) {
             recoveryState = RecoveryState.QUERYING;
             startNewQuery(); // earlier replies do not cover votes that were still counted then
             makeQueryDue(nowMicros);
@@ -165,7 +167,7 @@
         replies.put(from, reply);
         rememberedIncarnations.add(reply.knownIncarnation());
         if (reply.outdated() && recoveryState == RecoveryState.VERIFYING) {
-            recoveryState = RecoveryState.WAITING;
+            recoveryState = RecoveryState.WAITING_FOR_OLD_VOTES;
             suspectedLoss = from + " knows a later incarnation than this disk does: the disk is an old copy";
             startNewQuery();
             return true;
--- a/src/main/java/sedgeyoke/drill/soak/SoakFaults.java
+++ b/src/main/java/sedgeyoke/drill/soak/SoakFaults.java
@@ -55,7 +55,7 @@
         context.scheduler().awaitAll(BalancerRestart.TIMEOUT_MILLIS);
     }
 
-    /** What the balancers must not have done, other than by the rules: not to start, or not to end. */
+    /** Failures of processes: balancers that did not start, or did not stop. */
     List<String> failures() {
         return context.scheduler().failures();
     }
--- a/src/main/java/sedgeyoke/drill/soak/SoakRun.java
+++ b/src/main/java/sedgeyoke/drill/soak/SoakRun.java
@@ -17,7 +17,7 @@
 /** One run of a soak: starts a site and its balancers, injects what the seed draws, and says which rules broke. */
 final class SoakRun {
     private static final double[] ZONE_SHARES = {0.4, 0.3, 0.3};
-    private static final long POLL_PROPAGATION_MILLIS = 6_000;
+    private static final long POLL_PROPAGATION_MS = 6_000;
     private static final long DISCOVERY_DELAY_STEP_MS = 40;
     private static final long START_TIMEOUT_MS = 60_000;
     private static final long WARM_UP_MS = 1_000;
@@ -52,7 +52,7 @@
         List<SoakBalancer> balancers = new ArrayList<>();
         try (Site site = new Site(plan.site(), ZONE_SHARES, plan.seed())) {
             if (plan.polled()) {
-                site.setPollPropagation(POLL_PROPAGATION_MILLIS);
+                site.setPollPropagation(POLL_PROPAGATION_MS);
             }
             try {
                 startBalancers(site, folder, balancers);
--- a/src/main/java/sedgeyoke/policy/UtilizationReweighting.java
+++ b/src/main/java/sedgeyoke/policy/UtilizationReweighting.java
@@ -4,7 +4,8 @@
 
 /**
  * Moves the weight of each upstream by the distance of its reported utilisation from the mean of all: those
- * above the mean get less, those below it more. The mechanism is that of {@code docs/capacity.md}.
+ * above the mean get less, those below it more, as in "Optimizing Tail Latency in a Heterogeneous Environment
+ * with Istio, Envoy, and a Custom Kubernetes Operator".
  */
 final class UtilizationReweighting {
     /** Mean period; its jitter keeps balancers out of step. */
--- a/src/main/java/sedgeyoke/proxy/AttemptProgress.java
+++ b/src/main/java/sedgeyoke/proxy/AttemptProgress.java
@@ -184,8 +184,8 @@
 
     /**
      * Until when a further attempt may go out: upstreams recognise the repeat of an idempotency key only as long as
-     * they remember the first attempt that may have run. The policy checks that when it chooses, but a connection may
-     * take its time to come up. {@link Long#MAX_VALUE} without a key.
+     * they remember the first attempt that may have run. The policy checks that when it chooses, with a margin; this is
+     * the limit itself, as a connection may take its time to come up. {@link Long#MAX_VALUE} without a key.
      */
     long resendDeadlineMicros(Exchange exchange) {
         LoadBalancingPolicy.RequestClass requestClass = classOf(exchange);
--- a/src/main/java/sedgeyoke/proxy/ClientConnections.java
+++ b/src/main/java/sedgeyoke/proxy/ClientConnections.java
@@ -13,7 +13,10 @@
     private static final double CLIENT_SHARE = 0.5;
     /** So many below that, connections without a request are closed, and further requests are rejected. */
     private static final int RESERVED_CONNECTIONS = 32;
-    /** Clients may hold a third of the sockets. From this share on, the longest idle connections are closed. */
+    /**
+     * From this share of the sockets on, the longest idle connections are closed. The platform lets clients hold a
+     * third of the sockets at rest, which {@link #CLIENT_SHARE} exceeds for those with a request.
+     */
     private static final double SCARCE_SHARE = 0.125;
     /** From this share on, half of that third, each response ends its connection. */
     private static final double CROWDED_SHARE = 0.17;
--- a/src/main/java/sedgeyoke/proxy/DiscoveryTimings.java
+++ b/src/main/java/sedgeyoke/proxy/DiscoveryTimings.java
@@ -21,6 +21,10 @@
  * event loop. Below 0.5 s of grace the minimum times are larger than that. Where lists are polled, changes may be
  * unknown for 6 s: 2000 + 1000 + 1500 = 4500 ms with two lost answers.
  *
+ * <p>Not in the sum, as they come on top of it only together with other faults: a lost complete list of some thousand
+ * upstreams ({@code completeListSilenceMicros}), the backoff after a failed poll ({@code EndpointSubscription} of the
+ * policy), and the second answer that {@link RevisionTracker} asks for after an older complete list.
+ *
  * <p>Two parts elsewhere complete the bound:
  *
  * <ul>
--- a/src/main/java/sedgeyoke/proxy/ExchangeCompletion.java
+++ b/src/main/java/sedgeyoke/proxy/ExchangeCompletion.java
@@ -4,13 +4,14 @@
 
 /**
  * Ends exchanges towards their clients: each gets one response, or none if its client has left. Nothing else marks an
- * exchange as answered, and whoever ends one without service names a {@link RejectionReason}. An exchange may be ended
- * by
+ * exchange as answered, and whoever rejects one names a {@link RejectionReason}. A failure, after which the request may
+ * have been executed, has none. An exchange may be ended by
  *
  * <ul>
  *   <li>the response of an upstream ({@link AttemptProgress}),
  *   <li>the policy ({@link ExchangeActions}),
- *   <li>its deadline, its client, or the end of the process ({@link ExchangeLifecycle}),
+ *   <li>its deadline, its client, or the end of the process ({@link ExchangeLifecycle}); if a client breaks off a body
+ *       that is being streamed, {@link IncomingRequest} has already written the response and only the count is left,
  *   <li>a fault while it is handled ({@link PolicyEvents}, {@link ResponseWriter}).
  * </ul>
  *
--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/ProxyCore.java
@@ -22,9 +22,10 @@
  *       balancer; nothing runs yet.
  *   <li>{@link #start} runs on the event loop: the time limit of the {@link InitialListBarrier} begins; the policy
  *       starts, and gets the endpoint list of the configuration as {@link ListKind#RESTORED}; {@link DiscoveryClient}
- *       makes its first call, which returns at once; the stored cordons ({@link CordonStore}) are read.
+ *       sends its first call, which discovery answers without a wait (where lists are polled, the policy's subscription
+ *       sends it); the stored cordons ({@link CordonStore}) are read.
  *   <li>Meanwhile {@link JitWarmUp} serves requests in the process, on a thread of its own, so that its code is
- *       compiled.
+ *       compiled. It may take longer than the barrier holds; then requests are forwarded from the bind on.
  *   <li>{@code BalancerMain} installs the shutdown hook and only then binds the listener: from here on clients can
  *       connect, and each accepted request gets a response even if SIGTERM comes now.
  *   <li>Requests that arrive before the first answer of discovery are queued in the {@link InitialListBarrier}. The
@@ -171,7 +172,10 @@
         discovery.moveTo(changed.discovery());
     }
 
-    /** Whether to accept clients: discovery has answered, or its time is over and the configured list is used. */
+    /**
+     * Whether to accept clients: there is a list of discovery, or a configured one where lists are polled, or the time
+     * of the {@link InitialListBarrier} is over and the configured list is used.
+     */
     boolean ready() {
         return discovery.hasList()
                 || !config.configuredEndpoints().members().isEmpty() && initialListBarrier.isReleased();
--- a/src/main/java/sedgeyoke/proxy/UpstreamConnectionPool.java
+++ b/src/main/java/sedgeyoke/proxy/UpstreamConnectionPool.java
@@ -92,7 +92,8 @@
 
     private void connect(UpstreamEndpoint endpoint, Attempt attempt) {
         if (connections >= maxConnections && !endpoints.closeOldestIdle()) {
-            // All sockets are in use: the upstream gets nothing of the request, as if it had rejected it.
+            // All sockets are in use. The upstream gets nothing of the request, so that the policy may send it
+            // elsewhere; this also lowers the limit of an upstream that did not reject it.
             end(attempt, Outcome.REJECTED);
             return;
         }
--- a/src/main/java/sedgeyoke/proxy/UpstreamEndpoint.java
+++ b/src/main/java/sedgeyoke/proxy/UpstreamEndpoint.java
@@ -29,7 +29,7 @@
         return launchTimeMicros;
     }
 
-    /** Makes the upstream usable again if it is listed as ready and not cordoned, and retires it if not. */
+    /** Makes the upstream usable if it is listed as ready and not cordoned; otherwise closes its idle connections. */
     void updateReadiness(boolean cordoned) {
         ready = listedReady && !cordoned;
         if (!ready) {
--- a/src/test/java/sedgeyoke/consensus/ReplicaRecoveryTest.java
+++ b/src/test/java/sedgeyoke/consensus/ReplicaRecoveryTest.java
@@ -33,7 +33,7 @@
     }
 
     private void waitForOldElections() {
-        corrupt.isQueryDue(STARTED_AT + RULES.recoveryWaitMicros());
+        corrupt.takeDueQuery(STARTED_AT + RULES.recoveryWaitMicros());
     }
 
     @Test
