--- a/src/main/java/sedgeyoke/consensus/server/ConfigServerMain.java
+++ b/src/main/java/sedgeyoke/consensus/server/ConfigServerMain.java
@@ -20,7 +20,7 @@
 import sedgeyoke.consensus.storage.ReplicaStorage;
 import sedgeyoke.consensus.storage.UnusableStorageException;
 import sedgeyoke.lease.ClockDrift;
-import sedgeyoke.proxy.RateLimitedLog;
+import sedgeyoke.proxy.common.RateLimitedLog;
 import sedgeyoke.settings.ConfigServerSettings;
 import sedgeyoke.settings.OperatorFile;
 import sedgeyoke.startup.ServerStartup;
--- a/src/main/java/sedgeyoke/drill/InProcessBalancer.java
+++ b/src/main/java/sedgeyoke/drill/InProcessBalancer.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy;
-import sedgeyoke.proxy.BalancerConfig;
-import sedgeyoke.proxy.BalancerServer;
-import sedgeyoke.proxy.InvalidConfigException;
-import sedgeyoke.proxy.PolicyPort;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.config.InvalidConfigException;
+import sedgeyoke.proxy.core.PolicyPort;
+import sedgeyoke.proxy.lifecycle.BalancerServer;
 import sedgeyoke.standin.Site;
 
 /** A balancer in this process, on an event loop of its own; it shares only the network with others. */
--- a/src/main/java/sedgeyoke/plan/remote/PlannerClient.java
+++ b/src/main/java/sedgeyoke/plan/remote/PlannerClient.java
@@ -16,7 +16,7 @@
 import sedgeyoke.plan.PlanMessage;
 import sedgeyoke.plan.PlanSubscriber;
 import sedgeyoke.policy.LoadBalancingPolicy;
-import sedgeyoke.proxy.PolicyPort;
+import sedgeyoke.proxy.core.PolicyPort;
 import sedgeyoke.settings.PlannerClientSettings;
 import sedgeyoke.transport.Backoff;
 import sedgeyoke.transport.FramedConnection;
--- a/src/main/java/sedgeyoke/plan/remote/PlannerMain.java
+++ b/src/main/java/sedgeyoke/plan/remote/PlannerMain.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.LongSupplier;
-import sedgeyoke.proxy.RateLimitedLog;
+import sedgeyoke.proxy.common.RateLimitedLog;
 import sedgeyoke.settings.OperatorFile;
 import sedgeyoke.settings.PlannerSettings;
 import sedgeyoke.startup.ServerStartup;
--- a/src/main/java/sedgeyoke/proxy/AdminServer.java
+++ b/src/main/java/sedgeyoke/proxy/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.admin;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -24,13 +24,14 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import sedgeyoke.proxy.common.Transport;
 
 /**
  * The admin endpoint for operators: HTTP/1.1, one call on each connection, a status of 2xx for success. It runs on the
  * event loop of the balancer, so each response shows a consistent state. Callers that do not finish their call use up a
  * small number of connections, of which the oldest is closed for a new one.
  */
-final class AdminServer {
+public final class AdminServer {
     private static final int MAX_CALLERS = 32;
     private static final int MAX_CALL_BYTES = 4_096;
     private static final int MAX_ID_LENGTH = 256;
@@ -42,7 +43,7 @@
     private final Set<Channel> callers = new LinkedHashSet<>();
 
     /** What operators may call; on the event loop. */
-    interface Operations {
+    public interface Operations {
         /** Whether clients are served. */
         boolean healthy();
 
@@ -53,14 +54,15 @@
         boolean cordon(String id, boolean cordoned);
     }
 
-    AdminServer(EventLoop loop, Transport transport, Operations operations) {
+    /** Creates a server that does not listen yet. */
+    public AdminServer(EventLoop loop, Transport transport, Operations operations) {
         this.loop = loop;
         this.transport = transport;
         this.operations = operations;
     }
 
     /** Starts listening; the future completes when that has worked or failed. */
-    ChannelFuture bind(InetSocketAddress address) {
+    public ChannelFuture bind(InetSocketAddress address) {
         return transport
                 .server(loop)
                 .childHandler(new ChannelInitializer<Channel>() {
--- a/src/main/java/sedgeyoke/proxy/AcceptDelay.java
+++ b/src/main/java/sedgeyoke/proxy/client/AcceptDelay.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 /**
  * How long connections may have waited in the listener's backlog because none were accepted: accepting was paused for
--- a/src/main/java/sedgeyoke/proxy/ClientConnection.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnection.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -9,6 +9,7 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import java.io.IOException;
 import sedgeyoke.body.BodyLimits;
+import sedgeyoke.proxy.core.ProxyCore;
 
 /**
  * One connection of a client: it owns the state, and connects the channel with those that work on it. Requests are
--- a/src/main/java/sedgeyoke/proxy/ClientConnectionCloser.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnectionCloser.java
@@ -1,7 +1,8 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import java.util.Comparator;
 import java.util.List;
+import sedgeyoke.proxy.exchange.RejectionReason;
 
 /**
  * Closes connections that their clients leave unused. An idle connection is closed
--- a/src/main/java/sedgeyoke/proxy/ClientConnectionState.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnectionState.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 /** The states of a client's connection and the transitions between them; {@link ClientConnection} owns the state. */
 enum ClientConnectionState {
--- a/src/main/java/sedgeyoke/proxy/ClientConnections.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnections.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/sedgeyoke/proxy/ClientResponses.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientResponses.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
@@ -15,6 +15,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.Locale;
 import java.util.Set;
+import sedgeyoke.proxy.exchange.ResponseStream;
 
 /** Builds the HTTP messages that are sent to clients. */
 final class ClientResponses {
--- a/src/main/java/sedgeyoke/proxy/HttpFrontend.java
+++ b/src/main/java/sedgeyoke/proxy/client/HttpFrontend.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
@@ -12,12 +12,15 @@
 import java.nio.channels.ServerSocketChannel;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.body.BodyLimits;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.core.ProxyCore;
 
 /**
  * Accepts the connections of clients: the listener, its limits and its part in a graceful shutdown. What happens on a
  * connection is up to {@link ClientConnection}. All methods but {@link #bind} run on the event loop.
  */
-final class HttpFrontend {
+public final class HttpFrontend {
     private static final long CHECK_INTERVAL_MILLIS = 50;
     /** Connections accepted in one pass of the loop (Netty's bound). */
     private static final int MAX_ACCEPTED_PER_PASS = 16;
@@ -50,7 +53,7 @@
     private boolean handedOver;
 
     /** {@code inherited} is a listener that the platform holds, or null to bind one. */
-    HttpFrontend(
+    public HttpFrontend(
             EventLoop loop,
             BalancerConfig config,
             ProxyCore core,
@@ -71,7 +74,7 @@
     // ---- Listener ------------------------------------------------------------------------------------
 
     /** Starts listening; the future completes when that has worked or failed. May be called on any thread. */
-    ChannelFuture bind() {
+    public ChannelFuture bind() {
         loop.scheduleWithFixedDelay(
                 this::checkConnections, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         ServerBootstrap server = inherited == null ? transport.server(loop) : transport.server(loop, inherited);
@@ -181,28 +184,28 @@
     // ---- Graceful shutdown ---------------------------------------------------------------------------
 
     /** From now on health checks fail, so that clients are sent elsewhere. */
-    void drain() {
+    public void drain() {
         draining = true;
     }
 
     /** Whether health checks succeed. */
-    boolean takesClients() {
+    public boolean takesClients() {
         return core.ready() && !draining;
     }
 
     /** From now on new connections are another process's, and each response ends its connection. */
-    void handOver() {
+    public void handOver() {
         handedOver = true;
         updateAccepting();
     }
 
     /** Whether other processes may accept from the same listener. */
-    boolean shared() {
+    public boolean shared() {
         return inherited != null;
     }
 
     /** Closes the listener, if there is one yet. */
-    void stopListening() {
+    public void stopListening() {
         if (listener != null) {
             listener.close();
         }
@@ -212,7 +215,7 @@
      * Whether fewer connections were accepted since the last call than one pass of the loop may take: then the
      * listener's backlog was empty.
      */
-    boolean backlogEmpty() {
+    public boolean backlogEmpty() {
         boolean empty = accepted - acceptedBefore < MAX_ACCEPTED_PER_PASS;
         acceptedBefore = accepted;
         return empty;
@@ -225,7 +228,7 @@
      *
      * @param immediately rejects incomplete requests and closes connections of clients that do not leave
      */
-    void close(boolean immediately) {
+    public void close(boolean immediately) {
         if (closing && immediately) {
             closer.closeAllForShutdown(core.now());
         } else if (closing) {
@@ -242,17 +245,17 @@
     // ---- Metrics -------------------------------------------------------------------------------------
 
     /** Requests that were accepted and whose response is not yet written. */
-    int inFlight() {
+    public int inFlight() {
         return connections.busy();
     }
 
     /** Bytes that are reserved for streamed bodies. */
-    long reserved() {
+    public long reserved() {
         return core.budget().reserved();
     }
 
     /** Open connections of clients, including those whose last response is being written. */
-    int clients() {
+    public int clients() {
         return connections.size();
     }
 }
--- a/src/main/java/sedgeyoke/proxy/IncomingRequest.java
+++ b/src/main/java/sedgeyoke/proxy/client/IncomingRequest.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.HttpContent;
@@ -8,12 +8,15 @@
 import sedgeyoke.body.BodyBudget;
 import sedgeyoke.body.BodyLimits;
 import sedgeyoke.body.MinimumTransferRate;
+import sedgeyoke.proxy.core.ProxyCore;
+import sedgeyoke.proxy.exchange.Exchange;
+import sedgeyoke.proxy.exchange.RequestBody;
 
 /**
  * The request that is being read on one connection, with its body. It goes to {@link RequestAdmission} once, as soon as
  * its body is complete or too long to be buffered. To be used on the event loop.
  */
-final class IncomingRequest implements RequestBody.Source {
+public final class IncomingRequest implements RequestBody.Source {
     private final Channel channel;
     private final ClientConnection connection;
     private final ProxyCore core;
--- a/src/main/java/sedgeyoke/proxy/InvalidRequestException.java
+++ b/src/main/java/sedgeyoke/proxy/client/InvalidRequestException.java
@@ -1,4 +1,6 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
+
+import sedgeyoke.proxy.exchange.RejectionReason;
 
 /** A request that cannot be served; its message is the text of the response to the client. */
 final class InvalidRequestException extends Exception {
--- a/src/main/java/sedgeyoke/proxy/PipelinedRequests.java
+++ b/src/main/java/sedgeyoke/proxy/client/PipelinedRequests.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
--- a/src/main/java/sedgeyoke/proxy/RequestAdmission.java
+++ b/src/main/java/sedgeyoke/proxy/client/RequestAdmission.java
@@ -1,10 +1,14 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpUtil;
 import java.util.ArrayDeque;
 import java.util.Queue;
 import sedgeyoke.policy.LoadBalancingPolicy.Request;
+import sedgeyoke.proxy.core.ProxyCore;
+import sedgeyoke.proxy.exchange.Exchange;
+import sedgeyoke.proxy.exchange.RejectionReason;
+import sedgeyoke.proxy.exchange.RequestBody;
 
 /**
  * Decides on each request of one connection whether it is submitted to {@link ProxyCore}: by its head, before any of
--- a/src/main/java/sedgeyoke/proxy/RequestParser.java
+++ b/src/main/java/sedgeyoke/proxy/client/RequestParser.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -10,6 +10,9 @@
 import java.util.regex.Pattern;
 import sedgeyoke.policy.LoadBalancingPolicy.Effect;
 import sedgeyoke.policy.LoadBalancingPolicy.Request;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.core.ProxyCore;
+import sedgeyoke.proxy.exchange.RejectionReason;
 
 /** Turns the head of an HTTP request into a request of the policy. To be used on the event loop. */
 final class RequestParser {
--- a/src/main/java/sedgeyoke/proxy/RequestReader.java
+++ b/src/main/java/sedgeyoke/proxy/client/RequestReader.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -8,6 +8,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
+import sedgeyoke.proxy.core.ProxyCore;
 
 /**
  * Reads the requests of one connection one after the other. What the client pipelines behind the
--- a/src/main/java/sedgeyoke/proxy/RequestValidator.java
+++ b/src/main/java/sedgeyoke/proxy/client/RequestValidator.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -18,6 +18,7 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.List;
 import java.util.function.Function;
+import sedgeyoke.proxy.exchange.RejectionReason;
 
 /**
  * Rejects a request that cannot be served before any of its body is buffered. What follows on that connection is
--- a/src/main/java/sedgeyoke/proxy/ResponseWriter.java
+++ b/src/main/java/sedgeyoke/proxy/client/ResponseWriter.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -7,12 +7,17 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.nio.charset.StandardCharsets;
 import sedgeyoke.body.BodyBudget;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.core.ProxyCore;
+import sedgeyoke.proxy.exchange.Exchange;
+import sedgeyoke.proxy.exchange.RejectionReason;
+import sedgeyoke.proxy.exchange.ResponseStream;
 
 /**
  * Writes the responses on one {@link ClientConnection}: exactly one for each request, in whatever way it ends. All
  * methods run on the event loop.
  */
-final class ResponseWriter implements Exchange.Reply, ResponseStream.Sink {
+public final class ResponseWriter implements Exchange.Reply, ResponseStream.Sink {
     private static final byte[] NO_BODY = {};
 
     private final Channel channel;
@@ -157,7 +162,7 @@
     @Override
     public ResponseStream.Sink begin(ResponseStream.Head head, ResponseStream.Source from) {
         responseDue = false;
-        if (reservedBodies == 0 || !exchange.body.finished()) { // else the request's reservation serves for both
+        if (reservedBodies == 0 || !exchange.body().finished()) { // else the request's reservation serves for both
             budget.reserveUnconditionally();
             reservedBodies++;
         }
--- a/src/main/java/sedgeyoke/proxy/RateLimitedLog.java
+++ b/src/main/java/sedgeyoke/proxy/common/RateLimitedLog.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.common;
 
 import java.io.PrintStream;
 import java.util.function.LongSupplier;
--- a/src/main/java/sedgeyoke/proxy/Transport.java
+++ b/src/main/java/sedgeyoke/proxy/common/Transport.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.common;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -20,17 +20,17 @@
 import java.nio.charset.StandardCharsets;
 import sedgeyoke.body.BodyLimits;
 
-/** The transport of connections: TCP, or queues inside the process on which {@link JitWarmUp} runs the same code. */
-enum Transport {
+/** The transport of connections: TCP, or queues inside the process on which {@code JitWarmUp} runs the same code. */
+public enum Transport {
     /** TCP. */
     SOCKETS {
         @Override
-        Bootstrap client(EventLoop loop) {
+        public Bootstrap client(EventLoop loop) {
             return new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true);
         }
 
         @Override
-        ServerBootstrap server(EventLoop loop) {
+        public ServerBootstrap server(EventLoop loop) {
             return new ServerBootstrap()
                     .group(loop)
                     .channel(NioServerSocketChannel.class)
@@ -39,35 +39,35 @@
         }
 
         @Override
-        SocketAddress at(InetSocketAddress address) {
+        public SocketAddress at(InetSocketAddress address) {
             return address;
         }
 
         @Override
-        PrintStream log() {
+        public PrintStream log() {
             return System.err;
         }
     },
     /** Netty's local transport, without sockets. */
     INSIDE {
         @Override
-        Bootstrap client(EventLoop loop) {
+        public Bootstrap client(EventLoop loop) {
             return new Bootstrap().group(loop).channel(LocalChannel.class);
         }
 
         @Override
-        ServerBootstrap server(EventLoop loop) {
+        public ServerBootstrap server(EventLoop loop) {
             return new ServerBootstrap().group(loop).channel(LocalServerChannel.class);
         }
 
         @Override
-        SocketAddress at(InetSocketAddress address) {
+        public SocketAddress at(InetSocketAddress address) {
             // Not toString, which has the host's name too where that is known: both must give the same address.
             return new LocalAddress(address.getAddress().getHostAddress() + ":" + address.getPort());
         }
 
         @Override
-        PrintStream log() {
+        public PrintStream log() {
             return new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
         }
     };
@@ -75,7 +75,7 @@
     private static final int BACKLOG = 1024;
 
     /** A server on a listener that the platform opened, and that other processes may accept from, too. */
-    ServerBootstrap server(EventLoop loop, ServerSocketChannel inherited) {
+    public ServerBootstrap server(EventLoop loop, ServerSocketChannel inherited) {
         return new ServerBootstrap()
                 .group(loop)
                 .channelFactory(() -> new NioServerSocketChannel(inherited))
@@ -87,7 +87,7 @@
      * Limits what is buffered for a streamed body on its way out: in this process by water marks, in the kernel by the
      * sizes of its buffers.
      */
-    static void limitBuffers(Channel channel, BodyLimits limits) {
+    public static void limitBuffers(Channel channel, BodyLimits limits) {
         channel.config().setWriteBufferWaterMark(new WriteBufferWaterMark(limits.ceiling() / 8, limits.ceiling() / 4));
         if (limits.socketBuffer() > 0) {
             channel.config().setOption(ChannelOption.SO_SNDBUF, limits.socketBuffer());
@@ -96,20 +96,20 @@
     }
 
     /** Bytes that wait in this process to be written; 0 once the channel is closed. */
-    static long pendingBytes(Channel channel) {
+    public static long pendingBytes(Channel channel) {
         ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
         return buffer == null ? 0 : buffer.totalPendingWriteBytes();
     }
 
     /** A bootstrap for connections to upstreams and discovery. */
-    abstract Bootstrap client(EventLoop loop);
+    public abstract Bootstrap client(EventLoop loop);
 
     /** A bootstrap for a listener of our own. */
-    abstract ServerBootstrap server(EventLoop loop);
+    public abstract ServerBootstrap server(EventLoop loop);
 
     /** The address in this transport that stands for an IP address. */
-    abstract SocketAddress at(InetSocketAddress address);
+    public abstract SocketAddress at(InetSocketAddress address);
 
     /** Where events on these connections are logged. */
-    abstract PrintStream log();
+    public abstract PrintStream log();
 }
--- a/src/main/java/sedgeyoke/proxy/BalancerConfig.java
+++ b/src/main/java/sedgeyoke/proxy/config/BalancerConfig.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.config;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -45,7 +45,7 @@
         SettingsReader.InstanceSettings instanceSettings,
         EndpointList configuredEndpoints) {
 
-    static final JsonMapper JSON = new JsonMapper();
+    public static final JsonMapper JSON = new JsonMapper();
     private static final int MIN_SOCKETS = 128;
 
     /** Reads the file that the platform names, and what it sets in the environment. */
@@ -70,7 +70,7 @@
      * @param address of the admin endpoint; counts only where the file has none; null or empty for none
      * @param shared the folder that the processes of one balancer share; null or empty for none
      */
-    BalancerConfig with(String address, String shared) throws InvalidConfigException {
+    public BalancerConfig with(String address, String shared) throws InvalidConfigException {
         InetSocketAddress changedAddress = adminAddress;
         if (adminAddress == null && address != null && !address.isEmpty()) {
             changedAddress = IpAddress.parse(address);
@@ -98,7 +98,7 @@
     /**
      * The fields that differ in {@code other} and need a restart; the seed and the list always differ and are ignored.
      */
-    List<String> needRestart(BalancerConfig other) {
+    public List<String> needRestart(BalancerConfig other) {
         List<String> fields = new ArrayList<>();
         Map<String, Function<BalancerConfig, Object>> fixedFields = new TreeMap<>(Map.of(
                 "name",
--- a/src/main/java/sedgeyoke/proxy/EndpointList.java
+++ b/src/main/java/sedgeyoke/proxy/config/EndpointList.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
--- a/src/main/java/sedgeyoke/proxy/InvalidConfigException.java
+++ b/src/main/java/sedgeyoke/proxy/config/InvalidConfigException.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.config;
 
 /** A configuration that the balancer cannot run with. The message is for operators. */
 public final class InvalidConfigException extends Exception {
--- a/src/main/java/sedgeyoke/proxy/IpAddress.java
+++ b/src/main/java/sedgeyoke/proxy/config/IpAddress.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.config;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/sedgeyoke/proxy/CordonSet.java
+++ b/src/main/java/sedgeyoke/proxy/cordon/CordonSet.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.cordon;
 
 import java.util.Collections;
 import java.util.Set;
@@ -11,18 +11,22 @@
  * @param sinceMicrosById for each upstream's id, in natural order, since when it is cordoned: microseconds on the clock
  *     of the policy
  */
-record CordonSet(SortedMap<String, Long> sinceMicrosById) {
-    static final CordonSet EMPTY = new CordonSet(Collections.emptySortedMap());
+public record CordonSet(SortedMap<String, Long> sinceMicrosById) {
+    /** No upstream. */
+    public static final CordonSet EMPTY = new CordonSet(Collections.emptySortedMap());
 
-    CordonSet {
+    /** Copies the map. */
+    public CordonSet {
         sinceMicrosById = Collections.unmodifiableSortedMap(new TreeMap<>(sinceMicrosById));
     }
 
-    boolean contains(String id) {
+    /** Whether the upstream is cordoned. */
+    public boolean contains(String id) {
         return sinceMicrosById.containsKey(id);
     }
 
-    Set<String> ids() {
+    /** The ids of the cordoned upstreams, in natural order. */
+    public Set<String> ids() {
         return sinceMicrosById.keySet();
     }
 
@@ -30,12 +34,12 @@
         return sinceMicrosById.size();
     }
 
-    boolean isEmpty() {
+    public boolean isEmpty() {
         return sinceMicrosById.isEmpty();
     }
 
     /** This set and one more cordon. */
-    CordonSet with(String id, long sinceMicros) {
+    public CordonSet with(String id, long sinceMicros) {
         SortedMap<String, Long> changed = new TreeMap<>(sinceMicrosById);
         changed.put(id, sinceMicros);
         return new CordonSet(changed);
@@ -49,14 +53,14 @@
     }
 
     /** The cordons of exactly these upstreams: those that this set has keep their time, others begin now. */
-    CordonSet changedTo(Set<String> ids, long nowMicros) {
+    public CordonSet changedTo(Set<String> ids, long nowMicros) {
         SortedMap<String, Long> changed = new TreeMap<>();
         ids.forEach(id -> changed.put(id, sinceMicrosById.getOrDefault(id, nowMicros)));
         return new CordonSet(changed);
     }
 
     /** All cordons of both sets; where both have an upstream, the time of this set counts. */
-    CordonSet union(CordonSet other) {
+    public CordonSet union(CordonSet other) {
         SortedMap<String, Long> all = new TreeMap<>(other.sinceMicrosById);
         all.putAll(sinceMicrosById);
         return new CordonSet(all);
--- a/src/main/java/sedgeyoke/proxy/CordonStore.java
+++ b/src/main/java/sedgeyoke/proxy/cordon/CordonStore.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.cordon;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -19,7 +19,7 @@
  * in memory, so reading and writing it does not block the loop. It is replaced as a whole, and a file that cannot be
  * read changes nothing. To be used on one thread.
  */
-final class CordonStore {
+public final class CordonStore {
     /** Limits what is stored of ids that may never come back; operators cordon far fewer. */
     static final int MAX_CORDONS = 1_000;
 
@@ -32,12 +32,12 @@
     private String lastContent = "";
 
     /** {@code file} may be null: then the set is lost with the process. */
-    CordonStore(Path file) {
+    public CordonStore(Path file) {
         this.file = file;
     }
 
     /** The cordons that were read or set last. */
-    CordonSet cordons() {
+    public CordonSet cordons() {
         return cordons;
     }
 
@@ -47,7 +47,7 @@
      * @return false if there are too many cordons
      * @throws IOException if the file cannot be read or written; the set may then be that of the file
      */
-    boolean set(String id, boolean cordoned, long nowMicros) throws IOException {
+    public boolean set(String id, boolean cordoned, long nowMicros) throws IOException {
         if (file == null) {
             return apply(id, cordoned, nowMicros);
         }
@@ -92,7 +92,7 @@
      * @throws InvalidCordonFileException if the file has not the expected form; the set stays as it is
      * @throws IOException if it cannot be read; the set stays as it is
      */
-    boolean refresh() throws IOException {
+    public boolean refresh() throws IOException {
         if (file == null) {
             return false;
         }
--- a/src/main/java/sedgeyoke/proxy/InvalidCordonFileException.java
+++ b/src/main/java/sedgeyoke/proxy/cordon/InvalidCordonFileException.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.cordon;
 
 import java.io.IOException;
 import java.nio.file.Path;
--- a/src/main/java/sedgeyoke/proxy/CordonRegistry.java
+++ b/src/main/java/sedgeyoke/proxy/core/CordonRegistry.java
@@ -1,10 +1,16 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.core;
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy;
+import sedgeyoke.proxy.common.RateLimitedLog;
+import sedgeyoke.proxy.cordon.CordonSet;
+import sedgeyoke.proxy.cordon.CordonStore;
+import sedgeyoke.proxy.exchange.PolicyClock;
+import sedgeyoke.proxy.exchange.PolicyEvents;
+import sedgeyoke.proxy.upstream.EndpointTable;
 
 /**
  * The upstreams that operators have taken out of service: at this balancer's admin endpoint, or for the whole fleet in
--- a/src/main/java/sedgeyoke/proxy/PolicyActions.java
+++ b/src/main/java/sedgeyoke/proxy/core/PolicyActions.java
@@ -1,9 +1,15 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.core;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy;
 import sedgeyoke.policy.LoadBalancingPolicy.Settings;
+import sedgeyoke.proxy.common.RateLimitedLog;
+import sedgeyoke.proxy.discovery.DiscoveryClient;
+import sedgeyoke.proxy.exchange.ExchangeActions;
+import sedgeyoke.proxy.exchange.PolicyClock;
+import sedgeyoke.proxy.exchange.PolicyEvents;
+import sedgeyoke.proxy.upstream.UpstreamConnectionPool;
 
 /** Carries out what the policy decides; for single exchanges that is up to {@link ExchangeActions}. Event loop only. */
 final class PolicyActions implements LoadBalancingPolicy.Actions {
--- a/src/main/java/sedgeyoke/proxy/PolicyPort.java
+++ b/src/main/java/sedgeyoke/proxy/core/PolicyPort.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.core;
 
 import java.util.Set;
 import sedgeyoke.policy.LoadBalancingPolicy;
--- a/src/main/java/sedgeyoke/proxy/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/core/ProxyCore.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.core;
 
 import io.netty.channel.EventLoop;
 import java.nio.file.Path;
@@ -10,6 +10,29 @@
 import sedgeyoke.policy.LoadBalancingPolicy;
 import sedgeyoke.policy.LoadBalancingPolicy.ListKind;
 import sedgeyoke.policy.UtilizationWeightedPolicy;
+import sedgeyoke.proxy.common.RateLimitedLog;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.config.EndpointList;
+import sedgeyoke.proxy.cordon.CordonStore;
+import sedgeyoke.proxy.discovery.DiscoveryClient;
+import sedgeyoke.proxy.discovery.DiscoveryMetrics;
+import sedgeyoke.proxy.discovery.InitialListBarrier;
+import sedgeyoke.proxy.exchange.AttemptProgress;
+import sedgeyoke.proxy.exchange.Exchange;
+import sedgeyoke.proxy.exchange.ExchangeActions;
+import sedgeyoke.proxy.exchange.ExchangeCompletion;
+import sedgeyoke.proxy.exchange.ExchangeDeadlines;
+import sedgeyoke.proxy.exchange.ExchangeLifecycle;
+import sedgeyoke.proxy.exchange.ExchangeTable;
+import sedgeyoke.proxy.exchange.PolicyClock;
+import sedgeyoke.proxy.exchange.PolicyEvents;
+import sedgeyoke.proxy.exchange.RejectionReason;
+import sedgeyoke.proxy.exchange.RequestMetrics;
+import sedgeyoke.proxy.upstream.EndpointChanges;
+import sedgeyoke.proxy.upstream.EndpointTable;
+import sedgeyoke.proxy.upstream.UpstreamConnectionPool;
+import sedgeyoke.proxy.upstream.UpstreamContext;
 
 /**
  * Connects the policy with the exchanges, the connection pool and discovery of one balancer, and is what the frontend
@@ -24,7 +47,7 @@
  *       starts, and gets the endpoint list of the configuration as {@link ListKind#RESTORED}; {@link DiscoveryClient}
  *       sends its first call, which discovery answers without a wait (where lists are polled, the policy's subscription
  *       sends it); the stored cordons ({@link CordonStore}) are read.
- *   <li>Meanwhile {@link JitWarmUp} serves requests in the process, on a thread of its own, so that its code is
+ *   <li>Meanwhile {@code JitWarmUp} serves requests in the process, on a thread of its own, so that its code is
  *       compiled. It may take longer than the barrier holds; then requests are forwarded from the bind on.
  *   <li>{@code BalancerMain} installs the shutdown hook and only then binds the listener: from here on clients can
  *       connect, and each accepted request gets a response even if SIGTERM comes now.
@@ -35,7 +58,7 @@
  *   <li>The admin endpoint is bound, and the optional features start.
  * </ol>
  */
-final class ProxyCore implements PolicyPort {
+public final class ProxyCore implements PolicyPort {
     /** SIGKILL does not wait for longer deadlines (PROTOCOL, "Figures"). */
     private static final long MAX_DEADLINE_MICROS = 3_000_000;
     /** Share of the sockets for connections to upstreams; clients have one each, too. */
@@ -61,7 +84,8 @@
     private final CordonRegistry cordons;
     private boolean started;
 
-    ProxyCore(EventLoop loop, BalancerConfig config, Transport transport, BodyLimits bodies) {
+    /** Creates a balancer with the policy that the configuration asks for. */
+    public ProxyCore(EventLoop loop, BalancerConfig config, Transport transport, BodyLimits bodies) {
         this(
                 loop,
                 config,
@@ -72,7 +96,7 @@
     }
 
     /** For tests, which bring a policy of their own. */
-    ProxyCore(
+    public ProxyCore(
             EventLoop loop,
             BalancerConfig config,
             Transport transport,
@@ -122,7 +146,7 @@
      * Starts with the endpoint list of the configuration, which discovery has to confirm before requests are forwarded
      * by it. Does nothing if it was called before.
      */
-    void start() {
+    public void start() {
         if (started) {
             return;
         }
@@ -163,7 +187,7 @@
     }
 
     /** Takes over what may change without a restart, from a configuration that was read again. */
-    void reload(BalancerConfig changed) {
+    public void reload(BalancerConfig changed) {
         List<String> fieldsThatNeedRestart = config.needRestart(changed);
         if (!fieldsThatNeedRestart.isEmpty()) {
             log.line("reload: changes to " + String.join(", ", fieldsThatNeedRestart) + " are ignored until a restart");
@@ -176,61 +200,62 @@
      * Whether to accept clients: there is a list of discovery, or a configured one where lists are polled, or the time
      * of the {@link InitialListBarrier} is over and the configured list is used.
      */
-    boolean ready() {
+    public boolean ready() {
         return discovery.hasList()
                 || !config.configuredEndpoints().members().isEmpty() && initialListBarrier.isReleased();
     }
 
     // ---- For the frontend ----------------------------------------------------------------------------
 
-    RateLimitedLog log() {
+    /** The log of this balancer. */
+    public RateLimitedLog log() {
         return log;
     }
 
     /** What bodies that are being streamed hold in total. */
-    BodyBudget budget() {
+    public BodyBudget budget() {
         return budget;
     }
 
     /** Whether a request with this id is open; each request has an id of its own. */
-    boolean knows(String id) {
+    public boolean knows(String id) {
         return table.get(id) != null;
     }
 
     /** Takes a client's request; it is owed one response from here on. */
-    void accept(Exchange exchange) {
+    public void accept(Exchange exchange) {
         exchanges.accept(exchange);
     }
 
     /** The client has closed its connection before its response. */
-    void clientDisconnected(Exchange exchange) {
+    public void clientDisconnected(Exchange exchange) {
         completion.clientDisconnected(exchange);
     }
 
     /** The client will send no more of a body of which a part was forwarded. */
-    void requestBodyAborted(Exchange exchange) {
+    public void requestBodyAborted(Exchange exchange) {
         exchanges.requestBodyAborted(exchange);
     }
 
     /** Answers an exchange that is left open because handling it threw. */
-    void handlingFailed(Exchange exchange) {
+    public void handlingFailed(Exchange exchange) {
         completion.endUnanswered(exchange, RejectionReason.INTERNAL_FAULT);
     }
 
     /** Counts a request that was rejected without an exchange of its own. */
-    void countRejected(int classIndex) {
+    public void countRejected(int classIndex) {
         metrics.ended(classIndex, RequestMetrics.End.REJECTED);
     }
 
     /** The Retry-After of a rejection that the policy does not decide on; 0 where none is allowed. */
-    long defaultRetryAfterMicros() {
+    public long defaultRetryAfterMicros() {
         return completion.retryAfterMicros(0);
     }
 
     // ---- Graceful shutdown ---------------------------------------------------------------------------
 
     /** The longest that clients wait for a response, as far as the platform waits for it. */
-    long longestDeadlineMicros() {
+    public long longestDeadlineMicros() {
         long longest = settings.classes().stream()
                 .mapToLong(LoadBalancingPolicy.RequestClass::clientTimeoutMicros)
                 .max()
@@ -239,22 +264,22 @@
     }
 
     /** No response is out after the first time, and requests are rejected from the second on. */
-    void limitTimes(long lastResponseMicros, long lastRequestMicros) {
+    public void limitTimes(long lastResponseMicros, long lastRequestMicros) {
         deadlines.limitTimes(lastResponseMicros, lastRequestMicros);
     }
 
     /** Ends what is still open, just before the process is killed. */
-    void endAll() {
+    public void endAll() {
         exchanges.endAll();
     }
 
     /** Whether no exchange is open. */
-    boolean idle() {
+    public boolean idle() {
         return table.isEmpty();
     }
 
     /** Logs how much memory streamed bodies have used, where they are on. */
-    void reportBodies() {
+    public void reportBodies() {
         if (bodies.streaming()) {
             log.line("bodies: peak of " + budget.largest() + " of " + bodies.ceiling()
                     + " bytes buffered for one direction of a transfer; " + budget.rejected()
@@ -265,12 +290,12 @@
     // ---- For operators and other features ------------------------------------------------------------
 
     /** Cordons an upstream or ends that; false for an id that nobody has. */
-    boolean cordon(String id, boolean cordoned) {
+    public boolean cordon(String id, boolean cordoned) {
         return cordons.set(id, cordoned);
     }
 
     /** Metrics as text; {@code inFlight} is the number of requests that are taken and not yet answered. */
-    String metrics(int inFlight) {
+    public String metrics(int inFlight) {
         List<LoadBalancingPolicy.UpstreamStatus> upstreams =
                 events.policy().summary(now()).upstreams();
         int excluded = (int) upstreams.stream()
--- a/src/main/java/sedgeyoke/proxy/DiscoveryClient.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.discovery;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
@@ -9,6 +9,11 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
+import sedgeyoke.proxy.common.RateLimitedLog;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.config.EndpointList;
+import sedgeyoke.proxy.config.InvalidEndpointListException;
 
 /**
  * Fetches the complete endpoint list from discovery and then watches it, with one call after the other. A call that
@@ -23,7 +28,7 @@
  * complete lists are expensive there and would delay each other when many balancers start at once. Times are
  * microseconds. Event loop only.
  */
-final class DiscoveryClient implements DiscoveryConnection.Listener {
+public final class DiscoveryClient implements DiscoveryConnection.Listener {
     /** An unchanged watch that ends sooner than this is renewed only after a pause: calls would follow at once. */
     private static final long MIN_WATCH_MICROS = 50_000;
 
@@ -67,7 +72,7 @@
     private boolean failureReported;
 
     /** Receives what discovery answers. */
-    interface Listener {
+    public interface Listener {
         /** A list has come, complete or with changes, perhaps none. */
         void listed(EndpointList list);
 
@@ -78,7 +83,8 @@
         void unavailable();
     }
 
-    DiscoveryClient(
+    /** Creates a client that sends nothing before {@link #watch} or {@link #fetch}. */
+    public DiscoveryClient(
             EventLoop loop,
             BalancerConfig config,
             Transport transport,
@@ -113,12 +119,12 @@
     }
 
     /** Whether there is a list: discovery has sent one, or a watch continues from the one of the configuration. */
-    boolean hasList() {
+    public boolean hasList() {
         return hasList;
     }
 
     /** Starts watching, or stops after the current call. */
-    void watch(boolean enabled) {
+    public void watch(boolean enabled) {
         watching = enabled;
         if (enabled && !callInProgress) {
             call();
@@ -126,7 +132,7 @@
     }
 
     /** Fetches the complete list now; a watch in progress is aborted. */
-    void fetch() {
+    public void fetch() {
         revisions.requireCompleteList();
         endCalls();
         call();
@@ -136,7 +142,7 @@
      * Continues at another address. Revisions may differ there, so the complete list is fetched; the last one stays in
      * force until then, and responses from the old address are ignored.
      */
-    void moveTo(InetSocketAddress newAddress) {
+    public void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
--- a/src/main/java/sedgeyoke/proxy/DiscoveryConnection.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/DiscoveryConnection.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.discovery;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -17,6 +17,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
+import sedgeyoke.proxy.common.RateLimitedLog;
 
 /**
  * One connection to discovery, which carries one call at a time. It connects when it is created, and notifies its
--- a/src/main/java/sedgeyoke/proxy/DiscoveryFailures.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/DiscoveryFailures.java
@@ -1,6 +1,7 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.discovery;
 
 import java.util.function.LongSupplier;
+import sedgeyoke.proxy.common.RateLimitedLog;
 
 /**
  * Logs and counts the calls to discovery that fail or get no answer in time, and how long discovery was unavailable.
--- a/src/main/java/sedgeyoke/proxy/DiscoveryMetrics.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/DiscoveryMetrics.java
@@ -1,11 +1,11 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.discovery;
 
 /** Counters of calls to discovery. To be used on the event loop. */
-final class DiscoveryMetrics {
+public final class DiscoveryMetrics {
     private final long[] counts = new long[Event.values().length];
 
     /** What is counted; the labels are metric names that operators read. */
-    enum Event {
+    public enum Event {
         /** A call ended without a valid list. */
         CALL_FAILED("discovery.failed"),
         /** A call got no complete answer in time, and discovery was called on another connection. */
@@ -19,16 +19,19 @@
             this.label = label;
         }
 
-        String label() {
+        /** The name of its metric. */
+        public String label() {
             return label;
         }
     }
 
-    void count(Event event) {
+    /** Counts an event. */
+    public void count(Event event) {
         counts[event.ordinal()]++;
     }
 
-    long value(Event event) {
+    /** How often the event has happened. */
+    public long value(Event event) {
         return counts[event.ordinal()];
     }
 }
--- a/src/main/java/sedgeyoke/proxy/DiscoveryTimings.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/DiscoveryTimings.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.discovery;
 
 import sedgeyoke.policy.LoadBalancingPolicy.Settings;
 
@@ -28,9 +28,9 @@
  * <p>Two parts elsewhere complete the bound:
  *
  * <ul>
- *   <li>Once {@link EndpointTable} has taken the list over, nothing more is written to the upstream:
- *       {@link UpstreamConnectionPool} checks each attempt in the moment of writing and withholds it as
- *       {@link WithheldReason#UPSTREAM_NOT_READY}.
+ *   <li>Once {@code EndpointTable} has taken the list over, nothing more is written to the upstream:
+ *       {@code UpstreamConnectionPool} checks each attempt in the moment of writing and withholds it as
+ *       {@code WithheldReason.UPSTREAM}.
  *   <li>A process that starts with an older list forwards nothing before the first answer of discovery, for at most
  *       {@link InitialListBarrier#MAX_WAIT_MICROS}.
  * </ul>
--- a/src/main/java/sedgeyoke/proxy/EndpointListResponse.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/EndpointListResponse.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.discovery;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import io.netty.buffer.ByteBufUtil;
@@ -6,6 +6,9 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.config.EndpointList;
+import sedgeyoke.proxy.config.InvalidEndpointListException;
 import sedgeyoke.simulator.SettingsReader;
 
 /** Reads the endpoint list from a response of discovery. */
--- a/src/main/java/sedgeyoke/proxy/InitialListBarrier.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/InitialListBarrier.java
@@ -1,16 +1,17 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.discovery;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import sedgeyoke.proxy.common.RateLimitedLog;
 
 /**
  * Queues the requests that arrive before discovery has confirmed the endpoint list of the configuration. That list may
  * be older than the process, and its draining upstreams must get nothing even in the first moment. If discovery does
  * not answer, the requests are released after a limit and forwarded by the configured list. Event loop only.
  */
-final class InitialListBarrier {
+public final class InitialListBarrier {
     /** From the first call to discovery on; the call begins well before clients can connect. */
     static final long MAX_WAIT_MICROS = 1_000_000;
 
@@ -21,13 +22,14 @@
     private final List<Runnable> queued = new ArrayList<>();
     private boolean released;
 
-    InitialListBarrier(EventLoop loop, RateLimitedLog log) {
+    /** Creates a barrier whose time limit has not begun. */
+    public InitialListBarrier(EventLoop loop, RateLimitedLog log) {
         this.loop = loop;
         this.log = log;
     }
 
     /** Starts the time limit. */
-    void start() {
+    public void start() {
         loop.schedule(this::timedOut, MAX_WAIT_MICROS, TimeUnit.MICROSECONDS);
     }
 
@@ -35,7 +37,7 @@
      * Runs {@code request} once requests are released: now, or when discovery has answered or the limit is over. The
      * caller checks then whether the request is still open.
      */
-    void whenReleased(Runnable request) {
+    public void whenReleased(Runnable request) {
         if (released) {
             request.run();
         } else {
@@ -44,12 +46,12 @@
     }
 
     /** Whether requests are forwarded. */
-    boolean isReleased() {
+    public boolean isReleased() {
         return released;
     }
 
     /** Discovery has answered: what is queued is released. */
-    void listConfirmed() {
+    public void listConfirmed() {
         if (!released) {
             release("endpoints: confirmed by discovery");
         }
--- a/src/main/java/sedgeyoke/proxy/OverdueAnswer.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/OverdueAnswer.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.discovery;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
--- a/src/main/java/sedgeyoke/proxy/RevisionTracker.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/RevisionTracker.java
@@ -1,4 +1,6 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.discovery;
+
+import sedgeyoke.proxy.config.EndpointList;
 
 /**
  * The revision of the endpoint list in force, and the decision whether an answer of discovery may replace that list.
--- a/src/main/java/sedgeyoke/proxy/Attempt.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/Attempt.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import io.netty.util.concurrent.Future;
 
@@ -6,7 +6,7 @@
  * One attempt of an exchange at an upstream. It ends once, whatever happens first; see {@link AttemptListener#ended}.
  * Times are microseconds of the policy's clock.
  */
-final class Attempt {
+public final class Attempt {
     final Exchange exchange;
     /** Its index among the attempts of the exchange. */
     final int number;
@@ -21,13 +21,12 @@
      */
     final long resendDeadlineMicros;
     /** The connection that its request was written to; null before. */
-    UpstreamConnection connection;
+    AttemptConnection connection;
     /** Whether the kernel has the last byte of the request: from then on it may be executed. */
     boolean written;
 
     boolean ended;
-    /** Whether it was already put off once because the event loop was late. */
-    boolean deferredUntilRead;
+    private boolean deferredUntilRead;
     /** Since when the upstream can have the complete request: the start, or the last byte of a streamed body. */
     long requestCompleteTimeMicros;
     /** When the first part of a streamed or slow response arrived; 0 for none. */
@@ -54,4 +53,54 @@
         this.deadlineMicros = deadlineMicros;
         this.resendDeadlineMicros = resendDeadlineMicros;
     }
+
+    /** The exchange that it belongs to. */
+    public Exchange exchange() {
+        return exchange;
+    }
+
+    /** Its index among the attempts of the exchange. */
+    public int number() {
+        return number;
+    }
+
+    /** The id of the upstream that it goes to. */
+    public String upstream() {
+        return upstream;
+    }
+
+    /** When we stop waiting for it. */
+    public long deadlineMicros() {
+        return deadlineMicros;
+    }
+
+    /** From when on it must not be written any more; {@link Long#MAX_VALUE} for no such time. */
+    public long resendDeadlineMicros() {
+        return resendDeadlineMicros;
+    }
+
+    /** Records the connection that its request is written to. */
+    public void sentOn(AttemptConnection attemptConnection) {
+        connection = attemptConnection;
+    }
+
+    /** Whether the kernel has the last byte of the request: from then on it may be executed. */
+    public boolean written() {
+        return written;
+    }
+
+    /** Whether its outcome is known. */
+    public boolean ended() {
+        return ended;
+    }
+
+    /** Records that it was put off until the event loop has read what has arrived meanwhile. */
+    public void deferUntilRead() {
+        deferredUntilRead = true;
+    }
+
+    /** Whether it was already put off once because the event loop was late. */
+    public boolean deferredUntilRead() {
+        return deferredUntilRead;
+    }
 }
--- a/src/main/java/sedgeyoke/proxy/AttemptListener.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/AttemptListener.java
@@ -1,9 +1,9 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
 
 /** Receives the progress of attempts from the connection pool. All methods are called on the event loop. */
-interface AttemptListener {
+public interface AttemptListener {
     /**
      * A response that is too long or too slow to be buffered begins, and is streamed to the client from here on.
      * {@link #ended} is still called once it is complete or broken, without a response.
--- a/src/main/java/sedgeyoke/proxy/AttemptOutcomes.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/AttemptOutcomes.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -8,11 +8,11 @@
  * Classifies how an attempt ended. The distinction that matters is whether the request can have been executed: it
  * cannot as long as its last byte was not handed to the kernel.
  */
-final class AttemptOutcomes {
+public final class AttemptOutcomes {
     private AttemptOutcomes() {}
 
     /** The outcome that the head of a response stands for. */
-    static Outcome ofResponse(HttpResponse head) {
+    public static Outcome ofResponse(HttpResponse head) {
         int status = head.status().code();
         if (status == HttpResponseStatus.OK.code()) {
             return Outcome.OK;
@@ -22,7 +22,7 @@
     }
 
     /** The connection broke or was closed before a complete response. */
-    static Outcome afterConnectionLoss(Attempt attempt) {
+    public static Outcome afterConnectionLoss(Attempt attempt) {
         return attempt.written ? Outcome.RESET : Outcome.CONNECT_FAILED;
     }
 
--- a/src/main/java/sedgeyoke/proxy/AttemptProgress.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/AttemptProgress.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import java.util.List;
 import sedgeyoke.body.PartialRequestPolicy;
@@ -10,7 +10,7 @@
  * Follows each attempt from the connection pool to its one end, notifies the policy, and hands the first successful
  * response to {@link ExchangeCompletion}. Event loop only; times are microseconds of the policy's clock.
  */
-final class AttemptProgress implements AttemptListener {
+public final class AttemptProgress implements AttemptListener {
     private final PolicyClock clock;
     private final Settings settings;
     private final PolicyEvents events;
@@ -19,7 +19,8 @@
     private final ExchangeDeadlines deadlines;
     private final ExchangeCompletion completion;
 
-    AttemptProgress(
+    /** Connects what the progress of an attempt concerns. */
+    public AttemptProgress(
             PolicyClock clock,
             Settings settings,
             PolicyEvents events,
@@ -51,8 +52,8 @@
     }
 
     /** Ends an attempt that has not ended; its connection is closed if its request was written to one. */
-    void stop(Attempt attempt, Outcome outcome) {
-        UpstreamConnection connection = attempt.connection;
+    public void stop(Attempt attempt, Outcome outcome) {
+        AttemptConnection connection = attempt.connection;
         if (connection != null && connection.carries(attempt)) {
             connection.stop(outcome);
         } else {
@@ -187,7 +188,7 @@
      * they remember the first attempt that may have run. The policy checks that when it chooses, with a margin; this is
      * the limit itself, as a connection may take its time to come up. {@link Long#MAX_VALUE} without a key.
      */
-    long resendDeadlineMicros(Exchange exchange) {
+    public long resendDeadlineMicros(Exchange exchange) {
         LoadBalancingPolicy.RequestClass requestClass = classOf(exchange);
         if (requestClass.effect() != LoadBalancingPolicy.Effect.IDEMPOTENT_WITH_KEY) {
             return Long.MAX_VALUE;
--- a/src/main/java/sedgeyoke/proxy/BodyAccumulator.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/BodyAccumulator.java
@@ -1,11 +1,11 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import java.util.Arrays;
 
 /** Collects the bytes of a body. Most bodies come in one part, which is copied once. Not thread-safe. */
-final class BodyAccumulator {
+public final class BodyAccumulator {
     private static final byte[] EMPTY = {};
 
     private final int maxBytes;
@@ -13,12 +13,12 @@
     private int size;
 
     /** Callers must not add more than {@code maxBytes} bytes, and no more memory is used. */
-    BodyAccumulator(int maxBytes) {
+    public BodyAccumulator(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
     /** Copies a part; its reader index and reference count do not change. */
-    void add(ByteBuf part) {
+    public void add(ByteBuf part) {
         int length = part.readableBytes();
         if (size == 0) {
             bytes = ByteBufUtil.getBytes(part);
@@ -32,7 +32,7 @@
     }
 
     /** The number of bytes that were added. */
-    int size() {
+    public int size() {
         return size;
     }
 
@@ -45,14 +45,14 @@
     }
 
     /** All bytes that were added; afterwards this is empty. */
-    byte[] take() {
+    public byte[] take() {
         byte[] all = bytes();
         clear();
         return all;
     }
 
     /** Drops all bytes. */
-    void clear() {
+    public void clear() {
         bytes = EMPTY;
         size = 0;
     }
--- a/src/main/java/sedgeyoke/proxy/Exchange.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/Exchange.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -8,7 +8,7 @@
 import sedgeyoke.policy.LoadBalancingPolicy.Request;
 
 /** One client's request, from its arrival to its response and the end of its last attempt. Event loop only. */
-final class Exchange {
+public final class Exchange {
     final Request request;
     final HttpMethod method;
     final String uri;
@@ -36,7 +36,7 @@
     boolean answered;
 
     /** Where the response goes; one of these is called once. */
-    interface Reply {
+    public interface Reply {
         /** Answers with the body of an upstream. */
         void complete(String contentType, byte[] body);
 
@@ -50,7 +50,8 @@
         void failed();
     }
 
-    Exchange(
+    /** Creates an exchange without attempts; its deadline is set when it is accepted. */
+    public Exchange(
             Request request,
             HttpMethod method,
             String uri,
@@ -79,4 +80,39 @@
     boolean mayHaveRun() {
         return attempts.stream().anyMatch(attempt -> attempt.mayHaveRun);
     }
+
+    /** The request as the policy sees it. */
+    public Request request() {
+        return request;
+    }
+
+    /** The method that is forwarded. */
+    public HttpMethod method() {
+        return method;
+    }
+
+    /** Path and query that are forwarded. */
+    public String uri() {
+        return uri;
+    }
+
+    /** The headers that are forwarded to upstreams, without the budget. */
+    public HttpHeaders headers() {
+        return headers;
+    }
+
+    /** The body of the request. */
+    public RequestBody body() {
+        return body;
+    }
+
+    /** Bytes of the body as its head said; negative if it did not. */
+    public long contentLength() {
+        return contentLength;
+    }
+
+    /** Whether the response was handed over, or the client has disconnected. */
+    public boolean answered() {
+        return answered;
+    }
 }
--- a/src/main/java/sedgeyoke/proxy/ExchangeActions.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ExchangeActions.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
@@ -9,34 +9,35 @@
  * Carries out what the policy decides for one exchange. What it decides for an exchange that is no longer open is
  * ignored. Event loop only; times are microseconds of the policy's clock.
  */
-final class ExchangeActions {
+public final class ExchangeActions {
     private final EventLoop loop;
     private final PolicyClock clock;
     private final Settings settings;
     private final ExchangeTable table;
     private final AttemptProgress attempts;
     private final ExchangeCompletion completion;
-    private final UpstreamConnectionPool pool;
+    private final AttemptStarter starter;
 
-    ExchangeActions(
+    /** Attempts are handed to {@code starter}. */
+    public ExchangeActions(
             EventLoop loop,
             PolicyClock clock,
             Settings settings,
             ExchangeTable table,
             AttemptProgress attempts,
             ExchangeCompletion completion,
-            UpstreamConnectionPool pool) {
+            AttemptStarter starter) {
         this.loop = loop;
         this.clock = clock;
         this.settings = settings;
         this.table = table;
         this.attempts = attempts;
         this.completion = completion;
-        this.pool = pool;
+        this.starter = starter;
     }
 
     /** Starts an attempt at an upstream; {@code timeoutMicros} is 0 if it may wait as long as the exchange. */
-    void send(String id, String upstream, long timeoutMicros) {
+    public void send(String id, String upstream, long timeoutMicros) {
         Exchange exchange = table.get(id);
         if (exchange == null) {
             return;
@@ -57,11 +58,11 @@
             attempt.timeoutTimer =
                     loop.schedule(() -> attempts.timeOut(attempt), deadlineMicros - nowMicros, TimeUnit.MICROSECONDS);
         }
-        pool.start(attempt);
+        starter.start(attempt);
     }
 
     /** Rejects a request; {@code retryAfterMicros} is 0 for no advice. */
-    void reject(String id, long retryAfterMicros) {
+    public void reject(String id, long retryAfterMicros) {
         Exchange exchange = table.get(id);
         if (exchange != null) {
             completion.reject(exchange, RejectionReason.POLICY_DECISION, retryAfterMicros);
@@ -70,7 +71,7 @@
     }
 
     /** Answers that a request failed. */
-    void fail(String id) {
+    public void fail(String id) {
         Exchange exchange = table.get(id);
         if (exchange != null) {
             completion.fail(exchange);
@@ -79,7 +80,7 @@
     }
 
     /** Stops an attempt unless it has ended. */
-    void cancel(String id, int number) {
+    public void cancel(String id, int number) {
         Exchange exchange = table.get(id);
         if (exchange != null) {
             Attempt attempt = exchange.attempts.get(number);
--- a/src/main/java/sedgeyoke/proxy/ExchangeCompletion.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ExchangeCompletion.java
@@ -1,6 +1,7 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import sedgeyoke.policy.LoadBalancingPolicy.Settings;
+import sedgeyoke.proxy.common.RateLimitedLog;
 
 /**
  * Ends exchanges towards their clients: each gets one response, or none if its client has left. Nothing else marks an
@@ -11,13 +12,13 @@
  *   <li>the response of an upstream ({@link AttemptProgress}),
  *   <li>the policy ({@link ExchangeActions}),
  *   <li>its deadline, its client, or the end of the process ({@link ExchangeLifecycle}); if a client breaks off a body
- *       that is being streamed, {@link IncomingRequest} has already written the response and only the count is left,
- *   <li>a fault while it is handled ({@link PolicyEvents}, {@link ResponseWriter}).
+ *       that is being streamed, {@code IncomingRequest} has already written the response and only the count is left,
+ *   <li>a fault while it is handled ({@link PolicyEvents}, {@code ResponseWriter}).
  * </ul>
  *
  * <p>Event loop only; times are microseconds.
  */
-final class ExchangeCompletion {
+public final class ExchangeCompletion {
     /** Retry-After of a rejection where it is allowed and the policy gives none. */
     private static final long DEFAULT_RETRY_AFTER_MICROS = 1_000_000;
 
@@ -28,7 +29,8 @@
     private final ExchangeTable table;
     private final RateLimitedLog log;
 
-    ExchangeCompletion(
+    /** Connects what the end of an exchange concerns. */
+    public ExchangeCompletion(
             PolicyClock clock,
             Settings settings,
             PolicyEvents events,
@@ -75,14 +77,14 @@
     }
 
     /** Answers that the request failed; it may have been executed or not. */
-    void fail(Exchange exchange) {
+    public void fail(Exchange exchange) {
         if (markAnswered(exchange, RequestMetrics.End.FAILED)) {
             exchange.reply.failed();
         }
     }
 
     /** Answers an exchange that is still open: with a rejection only if no upstream has executed it. */
-    void endUnanswered(Exchange exchange, RejectionReason reason) {
+    public void endUnanswered(Exchange exchange, RejectionReason reason) {
         if (exchange.answered) {
             return;
         }
@@ -97,7 +99,7 @@
     }
 
     /** The Retry-After of a rejection; 0 where none is allowed. */
-    long retryAfterMicros(long advisedMicros) {
+    public long retryAfterMicros(long advisedMicros) {
         if (!settings.limits().retryAfter()) {
             return 0;
         }
@@ -109,7 +111,7 @@
     // ---- Without a response --------------------------------------------------------------------------
 
     /** The client has closed its connection before its response. */
-    void clientDisconnected(Exchange exchange) {
+    public void clientDisconnected(Exchange exchange) {
         if (!exchange.answered) {
             exchange.answered = true;
             notifyClientDisconnected(exchange);
--- a/src/main/java/sedgeyoke/proxy/ExchangeDeadlines.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ExchangeDeadlines.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
@@ -9,7 +9,7 @@
  * Computes until when the response of each exchange must be out, and runs a timer shortly before that. Event loop only;
  * times are microseconds of the policy's clock.
  */
-final class ExchangeDeadlines {
+public final class ExchangeDeadlines {
     /** The response must be out so long before the client's deadline: the way back takes time, too. */
     private static final long RESPONSE_TRANSIT_MICROS = 6_000;
     /** What a request took to arrive: its budget counts from the client's sending. */
@@ -24,19 +24,20 @@
     /** From then on requests are rejected at once, as there is no time left to forward them. */
     private long lastRequestMicros = Long.MAX_VALUE;
 
-    ExchangeDeadlines(EventLoop loop, PolicyClock clock, BodyLimits bodies) {
+    /** Deadlines run on the timers of this event loop. */
+    public ExchangeDeadlines(EventLoop loop, PolicyClock clock, BodyLimits bodies) {
         this.loop = loop;
         this.clock = clock;
         this.bodies = bodies;
     }
 
     /** Must be called once, before the first exchange; the handler runs when a deadline is near. */
-    void connect(Consumer<Exchange> handler) {
+    public void connect(Consumer<Exchange> handler) {
         expiryHandler = handler;
     }
 
     /** Limits the time of all responses, and from when on requests are rejected; both may move with each call. */
-    void limitTimes(long lastResponse, long lastRequest) {
+    public void limitTimes(long lastResponse, long lastRequest) {
         lastResponseMicros = lastResponse;
         lastRequestMicros = lastRequest;
     }
--- a/src/main/java/sedgeyoke/proxy/ExchangeLifecycle.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ExchangeLifecycle.java
@@ -1,14 +1,15 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import java.util.List;
 import sedgeyoke.policy.LoadBalancingPolicy;
+import sedgeyoke.proxy.discovery.InitialListBarrier;
 
 /**
  * Takes each exchange in and notifies the policy of it, and ends it when its deadline is near, when its client stops in
  * the middle of the body, or when the process is about to be killed. Event loop only; times are microseconds of the
  * policy's clock.
  */
-final class ExchangeLifecycle {
+public final class ExchangeLifecycle {
     private final PolicyClock clock;
     private final PolicyEvents events;
     private final InitialListBarrier initialListBarrier;
@@ -17,7 +18,8 @@
     private final AttemptProgress attempts;
     private final ExchangeCompletion completion;
 
-    ExchangeLifecycle(
+    /** Connects the parts that handle the exchanges of one balancer. */
+    public ExchangeLifecycle(
             PolicyClock clock,
             PolicyEvents events,
             InitialListBarrier initialListBarrier,
@@ -35,7 +37,7 @@
     }
 
     /** Takes a client's request; it is owed one response from here on. */
-    void accept(Exchange exchange) {
+    public void accept(Exchange exchange) {
         if (table.isFull()) {
             completion.reject(exchange, RejectionReason.TOO_MANY_EXCHANGES);
             return;
@@ -74,7 +76,7 @@
     }
 
     /** The deadline is near: the attempts time out, and the client is answered here if the policy does not. */
-    void expire(Exchange exchange) {
+    public void expire(Exchange exchange) {
         attempts.timeOutAll(exchange);
         completion.endUnanswered(exchange, RejectionReason.DEADLINE_NEAR);
         // An attempt that the policy sent in response to that would never end.
@@ -82,7 +84,7 @@
     }
 
     /** The client will send no more of a body of which a part was forwarded: the request can never be executed. */
-    void requestBodyAborted(Exchange exchange) {
+    public void requestBodyAborted(Exchange exchange) {
         if (completion.failWithoutResponse(exchange)) {
             for (Attempt attempt : List.copyOf(exchange.attempts)) {
                 if (!attempt.ended) {
@@ -98,7 +100,7 @@
      * Ends what is still open, streamed bodies above all, just before the process is killed: an upload whose last byte
      * never went out is rejected, and a client can tell that its response is incomplete.
      */
-    void endAll() {
+    public void endAll() {
         for (Exchange exchange : table.copy()) {
             for (Attempt attempt : List.copyOf(exchange.attempts)) {
                 if (!attempt.ended) {
--- a/src/main/java/sedgeyoke/proxy/ExchangeTable.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ExchangeTable.java
@@ -1,15 +1,16 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** The open exchanges by id: each until it is answered and its last attempt has ended. Event loop only. */
-final class ExchangeTable {
+public final class ExchangeTable {
     private final int maxExchanges;
     private final Map<String, Exchange> exchanges = new HashMap<>();
 
-    ExchangeTable(int maxExchanges) {
+    /** Creates an empty table that is full with {@code maxExchanges} open exchanges. */
+    public ExchangeTable(int maxExchanges) {
         this.maxExchanges = maxExchanges;
     }
 
@@ -19,7 +20,7 @@
     }
 
     /** The open exchange with this id, or null. */
-    Exchange get(String id) {
+    public Exchange get(String id) {
         return exchanges.get(id);
     }
 
@@ -27,7 +28,7 @@
         exchanges.put(exchange.request.id(), exchange);
     }
 
-    boolean isEmpty() {
+    public boolean isEmpty() {
         return exchanges.isEmpty();
     }
 
@@ -37,7 +38,7 @@
     }
 
     /** Removes an exchange that is answered and whose attempts have all ended. */
-    void removeIfDone(Exchange exchange) {
+    public void removeIfDone(Exchange exchange) {
         if (exchange.answered && exchange.allAttemptsEnded()) {
             if (exchange.deadlineTimer != null) {
                 exchange.deadlineTimer.cancel(false);
--- a/src/main/java/sedgeyoke/proxy/PolicyClock.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/PolicyClock.java
@@ -1,10 +1,10 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 /**
  * The policy's clock, and how late the event loop runs its timers. Times are microseconds; the clock is the wall clock
  * at the start, advanced by the monotonic clock. Event loop only, but for {@link #now}.
  */
-final class PolicyClock {
+public final class PolicyClock {
     private final long startMicros = System.currentTimeMillis() * 1_000;
     private final long startNanos = System.nanoTime();
     /** When the timer that the policy set last is due; it always has one. */
@@ -14,7 +14,8 @@
     /** How late the one before it ran. */
     private long earlierTimerDelayMicros;
 
-    long now() {
+    /** Microseconds: the wall clock at the start, advanced by the monotonic clock. */
+    public long now() {
         return startMicros + (System.nanoTime() - startNanos) / 1_000;
     }
 
@@ -22,11 +23,13 @@
         return now() - startMicros;
     }
 
-    void timerSet(long dueMicros) {
+    /** Records when the timer that the policy has set is due. */
+    public void timerSet(long dueMicros) {
         timerDueMicros = dueMicros;
     }
 
-    void timerFired(long dueMicros) {
+    /** Records how late a timer of the policy fired. */
+    public void timerFired(long dueMicros) {
         earlierTimerDelayMicros = lastTimerDelayMicros;
         lastTimerDelayMicros = Math.max(0, now() - dueMicros);
     }
--- a/src/main/java/sedgeyoke/proxy/PolicyEvents.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/PolicyEvents.java
@@ -1,39 +1,43 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import sedgeyoke.policy.LoadBalancingPolicy;
 import sedgeyoke.policy.SerializedEvents;
+import sedgeyoke.proxy.common.RateLimitedLog;
 
 /**
  * Hands the policy its events one after another, and contains its failures: if it throws while it handles an event of
  * an exchange, that exchange is ended here, as nothing else will. Event loop only.
  */
-final class PolicyEvents {
+public final class PolicyEvents {
     private final SerializedEvents events = new SerializedEvents();
     private final RateLimitedLog log;
     private LoadBalancingPolicy policy;
     private FailureHandler failureHandler;
 
     /** Ends an exchange that the policy failed to handle. */
-    interface FailureHandler {
+    public interface FailureHandler {
+        /** Called once for each event of the exchange that the policy threw at. */
         void policyFailed(Exchange exchange);
     }
 
-    PolicyEvents(RateLimitedLog log) {
+    /** Failures of the policy are written to this log. */
+    public PolicyEvents(RateLimitedLog log) {
         this.log = log;
     }
 
     /** Must be called once, before the first event. */
-    void connect(LoadBalancingPolicy receiver, FailureHandler handler) {
+    public void connect(LoadBalancingPolicy receiver, FailureHandler handler) {
         policy = receiver;
         failureHandler = handler;
     }
 
-    LoadBalancingPolicy policy() {
+    /** The policy; to be called within {@link #deliver} only. */
+    public LoadBalancingPolicy policy() {
         return policy;
     }
 
     /** Runs an event that concerns no single exchange: at once, or after the one that is being handled. */
-    void deliver(Runnable event) {
+    public void deliver(Runnable event) {
         events.handle(() -> {
             try {
                 event.run();
@@ -44,7 +48,7 @@
     }
 
     /** Runs an event of an exchange: at once, or after the one that is being handled. */
-    void deliver(Exchange exchange, Runnable event) {
+    public void deliver(Exchange exchange, Runnable event) {
         events.handle(() -> {
             try {
                 event.run();
--- a/src/main/java/sedgeyoke/proxy/ReadOverflowBuffer.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ReadOverflowBuffer.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -8,11 +8,11 @@
  * because a read of some kilobytes may bring hundreds of tiny chunks, and each would take some hundred bytes in a
  * queue. Not thread-safe.
  */
-final class ReadOverflowBuffer {
+public final class ReadOverflowBuffer {
     private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
 
     /** Adds a part and takes over its reference. */
-    void add(ByteBuf part) {
+    public void add(ByteBuf part) {
         if (!buffered.isReadable()) {
             buffered = part;
             return;
@@ -29,7 +29,7 @@
     }
 
     /** Whether nothing is buffered. */
-    boolean isEmpty() {
+    public boolean isEmpty() {
         return !buffered.isReadable();
     }
 
@@ -39,14 +39,14 @@
     }
 
     /** All that was added, with its reference; afterwards this is empty. */
-    ByteBuf take() {
+    public ByteBuf take() {
         ByteBuf all = buffered;
         buffered = Unpooled.EMPTY_BUFFER;
         return all;
     }
 
     /** Drops all that is buffered. */
-    void release() {
+    public void release() {
         take().release();
     }
 }
--- a/src/main/java/sedgeyoke/proxy/RejectionReason.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RejectionReason.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
@@ -6,7 +6,7 @@
  * Why a request was rejected instead of being served, and the status that its client gets. The request was not
  * executed, or a retry of it is harmless.
  */
-enum RejectionReason {
+public enum RejectionReason {
     // ---- Valid requests; the policy's metrics count them as rejected ---------------------------------
 
     /** The policy sheds load, or sees no upstream that could respond in time. */
@@ -71,7 +71,7 @@
     }
 
     /** The status of the response. */
-    HttpResponseStatus status() {
+    public HttpResponseStatus status() {
         return HttpResponseStatus.valueOf(statusCode);
     }
 }
--- a/src/main/java/sedgeyoke/proxy/RequestBody.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -10,7 +10,7 @@
  * is not read from the client until an attempt takes it, and what an attempt has taken is dropped here. To be used on
  * the event loop.
  */
-final class RequestBody {
+public final class RequestBody {
     private final Source source;
     private final int maxBuffered;
     private final BodyAccumulator buffered;
@@ -26,25 +26,25 @@
     private Sink sink;
 
     /** The client's side. */
-    interface Source {
+    public interface Source {
         /** Whether to read more of the body. */
         void read(boolean on);
     }
 
     /** The upstream's side. */
-    interface Sink {
+    public interface Sink {
         /** Writes a part and takes over its reference; false asks for a pause until {@link RequestBody#demand}. */
         boolean forward(ByteBuf data);
 
         /** The body is complete. */
-        void end();
+        public void end();
 
         /** The body ends early: its last byte must never be sent. */
-        void abort();
+        public void abort();
     }
 
     /** {@code maxBuffered} bytes are buffered before the body must be streamed. */
-    RequestBody(Source source, int maxBuffered) {
+    public RequestBody(Source source, int maxBuffered) {
         this.source = source;
         this.maxBuffered = maxBuffered;
         this.buffered = new BodyAccumulator(maxBuffered);
@@ -53,7 +53,7 @@
     // ---- Received from the client --------------------------------------------------------------------
 
     /** Adds a part and takes over its reference. True if from now on the body must be streamed. */
-    boolean add(ByteBuf part) {
+    public boolean add(ByteBuf part) {
         if (!part.isReadable()) {
             part.release();
             return false;
@@ -95,7 +95,7 @@
     }
 
     /** The last byte was received. */
-    void end() {
+    public void end() {
         ended = true;
         if (streams && sink != null && overflow.isEmpty()) {
             finish();
@@ -111,7 +111,7 @@
     }
 
     /** The client has left or was rejected: a request that has begun must never get its last byte. */
-    void abort() {
+    public void abort() {
         aborted = true;
         overflow.release();
         if (sink != null && !ended) {
@@ -124,27 +124,27 @@
     // ---- Sent by an attempt --------------------------------------------------------------------------
 
     /** Whether the body is too long to be buffered and is streamed. */
-    boolean streams() {
+    public boolean streams() {
         return streams;
     }
 
     /** Whether the last byte was received. */
-    boolean ended() {
+    public boolean ended() {
         return ended;
     }
 
     /** Whether the sink has got all of a streamed body. */
-    boolean finished() {
+    public boolean finished() {
         return finished;
     }
 
     /** Bytes that are buffered here. */
-    int bufferedBytes() {
+    public int bufferedBytes() {
         return buffered.size() + overflow.size();
     }
 
     /** A body that is buffered completely; callers must not change the array. */
-    byte[] bytes() {
+    public byte[] bytes() {
         return buffered.bytes();
     }
 
@@ -157,7 +157,7 @@
     }
 
     /** Streams the body to an attempt: what is buffered, then what is received. To be called once. */
-    void streamTo(Sink to) {
+    public void streamTo(Sink to) {
         forwarding = true;
         sink = to;
         if (write(Unpooled.wrappedBuffer(buffered.take()))) {
@@ -166,7 +166,7 @@
     }
 
     /** The sink can take more. */
-    void demand() {
+    public void demand() {
         if (sink == null) {
             return;
         }
@@ -182,7 +182,7 @@
     }
 
     /** The attempt has ended: what is still received is discarded. */
-    void detach(Sink from) {
+    public void detach(Sink from) {
         if (sink == from) {
             sink = null;
             overflow.release();
--- a/src/main/java/sedgeyoke/proxy/RequestMetrics.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RequestMetrics.java
@@ -1,11 +1,12 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import java.util.List;
 import java.util.Locale;
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
+import sedgeyoke.proxy.discovery.DiscoveryMetrics;
 
 /** Counters of this process by request class; all begin at 0. To be used on the event loop. */
-final class RequestMetrics {
+public final class RequestMetrics {
     private static final String PREFIX = "edge_balancer.";
 
     private final List<String> classes;
@@ -17,7 +18,7 @@
     private final long[] withheld = new long[WithheldReason.values().length];
 
     /** How a request ended, as its client sees it; the labels are metric names that operators read. */
-    enum End {
+    public enum End {
         /** With the response of an upstream. */
         SERVED("served"),
         /** With a response that says that a retry is harmless. */
@@ -32,14 +33,15 @@
         }
     }
 
-    RequestMetrics(List<String> classes) {
+    /** Creates counters for these request classes, in the order of their indexes. */
+    public RequestMetrics(List<String> classes) {
         this.classes = classes;
         this.ends = new long[End.values().length][classes.size()];
         this.attempts = new long[classes.size()];
     }
 
     /** Counts the end of a request. */
-    void ended(int classIndex, End end) {
+    public void ended(int classIndex, End end) {
         ends[end.ordinal()][classIndex]++;
     }
 
@@ -54,12 +56,12 @@
     }
 
     /** Counts an attempt that was not written. */
-    void withheld(WithheldReason reason) {
+    public void withheld(WithheldReason reason) {
         withheld[reason.ordinal()]++;
     }
 
     /** All metrics, one a line, in the format of statsd: counters of type {@code c}, gauges of type {@code g}. */
-    String text(int inFlight, int upstreamsKnown, int upstreamsExcluded, DiscoveryMetrics discovery) {
+    public String text(int inFlight, int upstreamsKnown, int upstreamsExcluded, DiscoveryMetrics discovery) {
         StringBuilder text = new StringBuilder();
         for (int classIndex = 0; classIndex < classes.size(); classIndex++) {
             for (End end : End.values()) {
--- a/src/main/java/sedgeyoke/proxy/ResponseStream.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ResponseStream.java
@@ -1,10 +1,10 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
 
 /** A response that is forwarded while it is received, independent of the protocol. */
-final class ResponseStream {
+public final class ResponseStream {
     private ResponseStream() {}
 
     /**
@@ -13,10 +13,10 @@
      * @param contentType as the upstream sends it, or null
      * @param length of the body in bytes; negative if not known
      */
-    record Head(String contentType, long length) {}
+    public record Head(String contentType, long length) {}
 
     /** The upstream's side. */
-    interface Source {
+    public interface Source {
         /** The client's side can take more. */
         void demand();
 
@@ -25,7 +25,7 @@
     }
 
     /** The client's side. */
-    interface Sink {
+    public interface Sink {
         /** Forwards a part and takes over its reference; false asks for a pause until {@link Source#demand}. */
         boolean forward(ByteBuf data);
 
--- a/src/main/java/sedgeyoke/proxy/UpstreamResponse.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/UpstreamResponse.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -8,6 +8,8 @@
 import java.util.function.Predicate;
 import sedgeyoke.policy.LoadBalancingPolicy.LoadReport;
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
+import sedgeyoke.proxy.common.RateLimitedLog;
+import sedgeyoke.proxy.config.BalancerConfig;
 import sedgeyoke.simulator.SettingsReader;
 
 /**
@@ -18,12 +20,13 @@
  * @param contentType null if it has none
  * @param body the complete body
  */
-record UpstreamResponse(Outcome outcome, LoadReport load, String contentType, byte[] body) {
+public record UpstreamResponse(Outcome outcome, LoadReport load, String contentType, byte[] body) {
     /** Larger values are invalid: times are in milliseconds, the others are counts or shares. */
     private static final double MAX_REPORT_VALUE = 1e7;
 
     /** Builds it from a head and a body; a load report that is invalid is logged and ignored. */
-    static UpstreamResponse of(HttpResponse response, byte[] body, List<String> reportNames, RateLimitedLog log) {
+    public static UpstreamResponse of(
+            HttpResponse response, byte[] body, List<String> reportNames, RateLimitedLog log) {
         return new UpstreamResponse(
                 AttemptOutcomes.ofResponse(response),
                 loadReport(response.headers().getAll("X-Load-Report"), reportNames, log),
--- a/src/main/java/sedgeyoke/proxy/WithheldReason.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/WithheldReason.java
@@ -1,7 +1,7 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.exchange;
 
 /** Why an attempt that the policy chose was not written to its upstream. */
-enum WithheldReason {
+public enum WithheldReason {
     /** The client has its response, or has left, or the attempt was cancelled. */
     EXCHANGE_OVER("exchange_over"),
     /** The endpoint list no longer has the upstream. */
@@ -22,7 +22,7 @@
     }
 
     /** Its name in logs and metrics. */
-    String label() {
+    public String label() {
         return label;
     }
 }
--- a/src/main/java/sedgeyoke/proxy/BalancerServer.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/BalancerServer.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.lifecycle;
 
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -6,6 +6,12 @@
 import java.nio.channels.ServerSocketChannel;
 import java.util.concurrent.CountDownLatch;
 import sedgeyoke.body.BodyLimits;
+import sedgeyoke.proxy.admin.AdminServer;
+import sedgeyoke.proxy.client.HttpFrontend;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.core.PolicyPort;
+import sedgeyoke.proxy.core.ProxyCore;
 
 /** One balancer: its policy, its sockets and its graceful shutdown, all on one event loop. */
 public final class BalancerServer {
@@ -16,11 +22,14 @@
     private final HttpFrontend frontend;
     private final CountDownLatch shutDown = new CountDownLatch(1);
 
-    BalancerServer(EventLoop loop, BalancerConfig config, ProxyCore core, Transport transport, BodyLimits bodies) {
+    /** Creates a server that binds a listener of its own. */
+    public BalancerServer(
+            EventLoop loop, BalancerConfig config, ProxyCore core, Transport transport, BodyLimits bodies) {
         this(loop, config, core, transport, bodies, null);
     }
 
-    BalancerServer(
+    /** Creates a server; {@code inherited} is a listener that is open already, null to bind one. */
+    public BalancerServer(
             EventLoop loop,
             BalancerConfig config,
             ProxyCore core,
@@ -116,12 +125,12 @@
     }
 
     /** For tests: the bytes reserved for bodies that are being streamed. Not on the event loop. */
-    long reservedForBodies() {
+    public long reservedForBodies() {
         return loop.submit(frontend::reserved).syncUninterruptibly().getNow();
     }
 
     /** For tests: the number of open client connections. Not on the event loop. */
-    int clients() {
+    public int clients() {
         return loop.submit(frontend::clients).syncUninterruptibly().getNow();
     }
 
--- a/src/main/java/sedgeyoke/proxy/ClassArchiveTraining.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/ClassArchiveTraining.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.lifecycle;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -12,6 +12,8 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.config.InvalidConfigException;
 
 /**
  * Runs at the build only: serves some requests on loopback and exits, so that the JVM can archive the classes that a
--- a/src/main/java/sedgeyoke/proxy/GracefulShutdown.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/GracefulShutdown.java
@@ -1,8 +1,10 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.lifecycle;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import sedgeyoke.proxy.client.HttpFrontend;
+import sedgeyoke.proxy.core.ProxyCore;
 
 /**
  * Runs a graceful shutdown. Clients go on using their connections, and another balancer may be down at the same time,
--- a/src/main/java/sedgeyoke/proxy/JitWarmUp.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/JitWarmUp.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.lifecycle;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -22,6 +22,10 @@
 import java.util.function.Supplier;
 import sedgeyoke.body.BodyLimits;
 import sedgeyoke.policy.LoadBalancingPolicy;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.config.EndpointList;
+import sedgeyoke.proxy.core.ProxyCore;
 
 /**
  * Serves some requests inside the process before the balancer listens, so that the code is compiled when the first
@@ -32,9 +36,9 @@
  */
 public final class JitWarmUp {
     /** More than the calls after which the JVM compiles a method, on each code path. */
-    static final int MAX_REQUESTS = 700;
+    public static final int MAX_REQUESTS = 700;
     /** Enough to load and link the classes of each code path. */
-    static final int MIN_REQUESTS = 30;
+    public static final int MIN_REQUESTS = 30;
     /**
      * Upstreams for each balancer, divided by the shortest latency objective in seconds, from which the start waits
      * for compiled code. Both grow with the rate of requests. Below that, interpreted code is fast enough while the JVM
--- a/src/main/java/sedgeyoke/proxy/ShutdownDeadlines.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/ShutdownDeadlines.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.lifecycle;
 
 /**
  * Computes the deadlines of a graceful shutdown, in microseconds of the policy's clock. SIGKILL comes a known time
@@ -7,7 +7,7 @@
  * which the signal may have been sent, and the later a check has run since, the more time before the kill
  * is reserved.
  */
-final class ShutdownDeadlines {
+public final class ShutdownDeadlines {
     /** New connections may arrive for up to 0.4 s after SIGTERM; only then is the listener closed. */
     private static final long LISTEN_MICROS = 550_000;
     /** SIGKILL follows SIGTERM after this and the longest deadline (PROTOCOL, "Figures"). */
@@ -30,36 +30,36 @@
      * @param signalTimeMicros the earliest time at which SIGTERM may have been sent
      * @param longestDeadlineMicros the longest that a client waits for a response
      */
-    ShutdownDeadlines(long signalTimeMicros, long longestDeadlineMicros) {
+    public ShutdownDeadlines(long signalTimeMicros, long longestDeadlineMicros) {
         this.signalTimeMicros = signalTimeMicros;
         this.killTimeMicros = signalTimeMicros + longestDeadlineMicros + KILL_MICROS;
         this.nextCheckMicros = signalTimeMicros;
     }
 
     /** The next {@link #recordCheck} is due at this time. */
-    void scheduleCheck(long timeMicros) {
+    public void scheduleCheck(long timeMicros) {
         nextCheckMicros = timeMicros;
     }
 
     /** Records that a check runs now; returns how late it is. The worst delay enlarges the reserve. */
-    long recordCheck(long nowMicros) {
+    public long recordCheck(long nowMicros) {
         long delayMicros = nowMicros - nextCheckMicros;
         worstDelayMicros = Math.max(worstDelayMicros, delayMicros);
         return delayMicros;
     }
 
     /** Until then new connections may arrive. */
-    long listenUntilMicros() {
+    public long listenUntilMicros() {
         return signalTimeMicros + LISTEN_MICROS;
     }
 
     /** From then on no request is accepted. */
-    long lastRequestMicros() {
+    public long lastRequestMicros() {
         return Math.max(listenUntilMicros(), lastResponseMicros() - LAST_REQUEST_BUDGET_MICROS);
     }
 
     /** By then every response is out. */
-    long lastResponseMicros() {
+    public long lastResponseMicros() {
         return killTimeMicros - Math.max(MIN_RESERVE_MICROS, DELAY_RESERVE_FACTOR * worstDelayMicros);
     }
 }
--- a/src/main/java/sedgeyoke/proxy/ConnectFailures.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/ConnectFailures.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import io.netty.channel.ChannelException;
 import java.net.BindException;
--- a/src/main/java/sedgeyoke/proxy/EndpointChanges.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/EndpointChanges.java
@@ -1,10 +1,10 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** What an endpoint list has changed, for the log: numbers, and the first ids of each kind. */
-final class EndpointChanges {
+public final class EndpointChanges {
     private static final int MAX_IDS = 6;
 
     private final Group ready = new Group("ready");
--- a/src/main/java/sedgeyoke/proxy/EndpointTable.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/EndpointTable.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -6,17 +6,21 @@
 import java.util.Map;
 import java.util.Set;
 import sedgeyoke.policy.LoadBalancingPolicy.State;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.config.EndpointList;
+import sedgeyoke.proxy.cordon.CordonSet;
 
 /**
  * The upstreams of the endpoint list in force, and which of them are ready: listed as ready and not cordoned. Event
  * loop only; times are microseconds of the policy's clock.
  */
-final class EndpointTable {
+public final class EndpointTable {
     private final Transport transport;
     private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
     private CordonSet cordons = CordonSet.EMPTY;
 
-    EndpointTable(Transport transport) {
+    /** Creates an empty table. */
+    public EndpointTable(Transport transport) {
         this.transport = transport;
     }
 
@@ -26,14 +30,14 @@
     }
 
     /** Whether the endpoint list has such an upstream. */
-    boolean contains(String upstream) {
+    public boolean contains(String upstream) {
         return endpoints.containsKey(upstream);
     }
 
     // ---- Changes -------------------------------------------------------------------------------------
 
     /** Takes over an endpoint list, before the policy is notified of it; returns what has changed. */
-    EndpointChanges update(EndpointList list) {
+    public EndpointChanges update(EndpointList list) {
         EndpointChanges changes = new EndpointChanges();
         if (list.complete()) {
             removeUnlisted(list, changes);
@@ -90,7 +94,7 @@
     }
 
     /** Takes over which upstreams operators have cordoned, before the policy is notified of it. */
-    void updateCordons(CordonSet changed) {
+    public void updateCordons(CordonSet changed) {
         cordons = changed;
         endpoints.forEach((id, endpoint) -> endpoint.updateReadiness(cordons.contains(id)));
     }
--- a/src/main/java/sedgeyoke/proxy/RequestUpload.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/RequestUpload.java
@@ -1,10 +1,14 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.concurrent.Future;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.exchange.Attempt;
+import sedgeyoke.proxy.exchange.AttemptOutcomes;
+import sedgeyoke.proxy.exchange.RequestBody;
 
 /** Writes a request body to an upstream part by part, as the client sends it. Event loop only. */
 final class RequestUpload implements RequestBody.Sink {
@@ -22,18 +26,20 @@
 
     /** The connection takes more again after a pause. */
     void resume() {
-        attempt.exchange.body.demand();
+        attempt.exchange().body().demand();
     }
 
     /** The attempt is over: what the client still sends is discarded. */
     void detach() {
-        attempt.exchange.body.detach(this);
+        attempt.exchange().body().detach(this);
     }
 
     @Override
     public boolean forward(ByteBuf data) {
         channel.writeAndFlush(new DefaultHttpContent(data)).addListener(this::partWritten);
-        context.budget().recordBuffered(Transport.pendingBytes(channel) + attempt.exchange.body.bufferedBytes());
+        context.budget()
+                .recordBuffered(Transport.pendingBytes(channel)
+                        + attempt.exchange().body().bufferedBytes());
         return channel.isWritable();
     }
 
--- a/src/main/java/sedgeyoke/proxy/ResponseReceiver.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/ResponseReceiver.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -11,6 +11,12 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
+import sedgeyoke.proxy.exchange.Attempt;
+import sedgeyoke.proxy.exchange.AttemptOutcomes;
+import sedgeyoke.proxy.exchange.BodyAccumulator;
+import sedgeyoke.proxy.exchange.ReadOverflowBuffer;
+import sedgeyoke.proxy.exchange.ResponseStream;
+import sedgeyoke.proxy.exchange.UpstreamResponse;
 
 /**
  * Receives the responses on one connection, one after the other. A response is buffered up to a limit; one that is
--- a/src/main/java/sedgeyoke/proxy/UpstreamConnection.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamConnection.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
@@ -12,13 +12,19 @@
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.exchange.Attempt;
+import sedgeyoke.proxy.exchange.AttemptConnection;
+import sedgeyoke.proxy.exchange.AttemptOutcomes;
+import sedgeyoke.proxy.exchange.ResponseStream;
+import sedgeyoke.proxy.exchange.UpstreamResponse;
 
 /**
  * One connection to an upstream and the attempt that it carries, if any. A response is handed over only once all is
  * read that arrived with it: the policy may send the next request at once, which must not be given a stray response
  * that lies behind. Event loop only.
  */
-final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> {
+final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements AttemptConnection {
     private static final int MIN_READ_BYTES = 512;
     private static final int INITIAL_READ_BYTES = 4_096;
 
@@ -70,7 +76,8 @@
         return current;
     }
 
-    boolean carries(Attempt attempt) {
+    @Override
+    public boolean carries(Attempt attempt) {
         return current == attempt;
     }
 
@@ -107,12 +114,12 @@
     /** Writes the request of an attempt, once; {@code budgetMillis} is what the upstream may take for it. */
     void send(Attempt attempt, long budgetMillis) {
         current = attempt;
-        attempt.connection = this;
-        if (attempt.exchange.body.streams()) {
+        attempt.sentOn(this);
+        if (attempt.exchange().body().streams()) {
             stream(attempt);
             return;
         }
-        requestWrite = channel.writeAndFlush(UpstreamRequests.complete(attempt.exchange, budgetMillis));
+        requestWrite = channel.writeAndFlush(UpstreamRequests.complete(attempt.exchange(), budgetMillis));
         requestWrite.addListener(written -> requestWritten(attempt, written));
     }
 
@@ -121,7 +128,7 @@
         if (!written.isSuccess()) {
             channel.close();
             fail(Outcome.CONNECT_FAILED);
-        } else if (!attempt.written) {
+        } else if (!attempt.written()) {
             context.listener().requestWritten(attempt);
         }
     }
@@ -129,9 +136,9 @@
     private void stream(Attempt attempt) {
         requestWrite = null; // the last byte is written by the upload
         upload = new RequestUpload(this, channel, context, attempt);
-        channel.write(UpstreamRequests.streamingHead(attempt.exchange));
+        channel.write(UpstreamRequests.streamingHead(attempt.exchange()));
         context.listener().requestStreaming(attempt);
-        attempt.exchange.body.streamTo(upload);
+        attempt.exchange().body().streamTo(upload);
     }
 
     @Override
@@ -178,7 +185,7 @@
     /** Ends the attempt after a complete response; the connection can be used again if both sides kept to HTTP. */
     private void finish(Outcome outcome, UpstreamResponse response) {
         Attempt attempt = current;
-        boolean reusable = attempt.written && !receiver.closesConnection() && !decoder.hasMore();
+        boolean reusable = attempt.written() && !receiver.closesConnection() && !decoder.hasMore();
         current = null;
         clearExchange();
         if (reusable) {
@@ -211,7 +218,8 @@
      * Ends the current attempt and closes the connection. It is closed before the end is reported: the policy may
      * respond with another attempt, and where two copies must not be in flight at once, upstreams would see two.
      */
-    void stop(Outcome outcome) {
+    @Override
+    public void stop(Outcome outcome) {
         Attempt attempt = current;
         current = null;
         abortResponse();
@@ -232,7 +240,7 @@
         if (current == null) {
             return Outcome.RESET;
         }
-        if (!current.written && requestWrite != null && requestWrite.isSuccess()) {
+        if (!current.written() && requestWrite != null && requestWrite.isSuccess()) {
             context.listener().requestWritten(current);
         }
         return AttemptOutcomes.afterConnectionLoss(current);
--- a/src/main/java/sedgeyoke/proxy/UpstreamConnectionPool.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamConnectionPool.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -7,15 +7,20 @@
 import io.netty.channel.ChannelOption;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.exchange.Attempt;
+import sedgeyoke.proxy.exchange.AttemptStarter;
+import sedgeyoke.proxy.exchange.RequestMetrics;
+import sedgeyoke.proxy.exchange.WithheldReason;
 
 /**
  * The connections to upstreams: takes an idle one or opens one for each attempt, and limits their number and how long
  * they are idle. It never resends: each attempt is written once at most, and its outcome says whether it can have been
  * executed. Event loop only; times are microseconds of the policy's clock.
  */
-final class UpstreamConnectionPool {
+public final class UpstreamConnectionPool implements AttemptStarter {
     /** Longest response where bodies are not streamed: regular ones have a sixth of it at most. */
-    static final int MAX_RESPONSE_BYTES = 512 * 1024;
+    public static final int MAX_RESPONSE_BYTES = 512 * 1024;
     /** Share of the settings' idle time after which we close: upstreams may close sooner than they announce. */
     private static final double IDLE_TIME_SHARE = 0.6;
 
@@ -38,7 +43,8 @@
     private final EndpointTable endpoints;
     private int connections;
 
-    UpstreamConnectionPool(
+    /** Creates an empty pool of at most {@code maxConnections} connections. */
+    public UpstreamConnectionPool(
             UpstreamContext context,
             Transport transport,
             EndpointTable endpoints,
@@ -62,7 +68,7 @@
     }
 
     /** Closes the idle connections to an upstream, if it is listed. */
-    void closeIdle(String upstream) {
+    public void closeIdle(String upstream) {
         endpoints.closeIdle(upstream);
     }
 
@@ -73,8 +79,9 @@
     // ---- Attempts ------------------------------------------------------------------------------------
 
     /** Starts an attempt on the connection used last, or on a new one. Its end may be reported before this returns. */
-    void start(Attempt attempt) {
-        UpstreamEndpoint endpoint = endpoints.get(attempt.upstream);
+    @Override
+    public void start(Attempt attempt) {
+        UpstreamEndpoint endpoint = endpoints.get(attempt.upstream());
         WithheldReason reason = withheldReason(endpoint, attempt);
         if (reason != null) {
             withhold(attempt, reason);
@@ -125,7 +132,7 @@
         }
         if (!connected.isSuccess()) {
             connectFailed(attempt, connected.cause());
-        } else if (attempt.ended) {
+        } else if (attempt.ended()) {
             connection.release(); // nothing was sent, so the connection can carry another attempt
         } else if (!connection.isAtCurrentAddress()) {
             // The upstream has moved while the connection came up; another one may be at that address by now.
@@ -140,7 +147,7 @@
     private void connectFailed(Attempt attempt, Throwable cause) {
         if (!ConnectFailures.isLocal(cause)) {
             end(attempt, Outcome.CONNECT_FAILED);
-        } else if (!attempt.ended) {
+        } else if (!attempt.ended()) {
             context.log().line("connect failed because of this machine: " + cause);
             context.loop()
                     .schedule(
@@ -169,10 +176,10 @@
      * the attempt is sent then: the client may have disconnected.
      */
     private boolean deferIfLoopIsLate(UpstreamConnection connection, Attempt attempt) {
-        if (attempt.deferredUntilRead || context.listener().loopDelayMicros() <= MAX_LOOP_DELAY_MICROS) {
+        if (attempt.deferredUntilRead() || context.listener().loopDelayMicros() <= MAX_LOOP_DELAY_MICROS) {
             return false;
         }
-        attempt.deferredUntilRead = true;
+        attempt.deferUntilRead();
         context.loop().schedule(() -> send(connection, attempt), 0, TimeUnit.MICROSECONDS);
         return true;
     }
@@ -186,7 +193,7 @@
         if (endpoint == null) {
             return WithheldReason.NOT_LISTED;
         }
-        if (attempt.ended || attempt.exchange.answered) {
+        if (attempt.ended() || attempt.exchange().answered()) {
             return WithheldReason.EXCHANGE_OVER;
         }
         if (!endpoint.isReady()) {
@@ -196,7 +203,7 @@
         if (remainingMillis(attempt) <= 0) {
             return WithheldReason.NO_TIME_LEFT;
         }
-        if (context.now() >= attempt.resendDeadlineMicros) {
+        if (context.now() >= attempt.resendDeadlineMicros()) {
             return WithheldReason.KEY_MAY_BE_FORGOTTEN;
         }
         return null;
@@ -204,15 +211,15 @@
 
     /** What is left until the attempt's deadline, in whole milliseconds, as the request states it. */
     private long remainingMillis(Attempt attempt) {
-        return (attempt.deadlineMicros - context.now()) / 1_000;
+        return (attempt.deadlineMicros() - context.now()) / 1_000;
     }
 
     private void withhold(Attempt attempt, WithheldReason reason) {
         metrics.withheld(reason);
-        if (!attempt.exchange.answered) {
+        if (!attempt.exchange().answered()) {
             context.log()
-                    .line("not sent: request " + attempt.exchange.request.id() + " attempt " + attempt.number + " to "
-                            + attempt.upstream + ": " + reason.label());
+                    .line("not sent: request " + attempt.exchange().request().id() + " attempt " + attempt.number()
+                            + " to " + attempt.upstream() + ": " + reason.label());
         }
         end(attempt, Outcome.NOT_SENT);
     }
--- a/src/main/java/sedgeyoke/proxy/UpstreamContext.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamContext.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import io.netty.channel.EventLoop;
 import java.util.List;
@@ -6,6 +6,8 @@
 import sedgeyoke.body.BodyBudget;
 import sedgeyoke.body.BodyLimits;
 import sedgeyoke.policy.LoadBalancingPolicy.Settings;
+import sedgeyoke.proxy.common.RateLimitedLog;
+import sedgeyoke.proxy.exchange.AttemptListener;
 
 /**
  * What all connections to upstreams have in common.
@@ -19,7 +21,7 @@
  * @param listener receives the progress of attempts
  * @param log where misbehaving upstreams are reported
  */
-record UpstreamContext(
+public record UpstreamContext(
         EventLoop loop,
         LongSupplier clockMicros,
         Settings settings,
--- a/src/main/java/sedgeyoke/proxy/UpstreamEndpoint.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamEndpoint.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
--- a/src/main/java/sedgeyoke/proxy/UpstreamRequests.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamRequests.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -9,6 +9,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
+import sedgeyoke.proxy.exchange.Exchange;
 
 /** Builds the HTTP requests that go to upstreams. */
 final class UpstreamRequests {
@@ -18,11 +19,11 @@
 
     /** A request with its complete body. */
     static FullHttpRequest complete(Exchange exchange, long budgetMillis) {
-        byte[] body = exchange.body.bytes();
+        byte[] body = exchange.body().bytes();
         FullHttpRequest request = new DefaultFullHttpRequest(
-                HttpVersion.HTTP_1_1, exchange.method, exchange.uri, Unpooled.wrappedBuffer(body));
-        request.headers().set(exchange.headers).set(BUDGET_HEADER, budgetMillis);
-        if (body.length > 0 || exchange.method.equals(HttpMethod.POST)) {
+                HttpVersion.HTTP_1_1, exchange.method(), exchange.uri(), Unpooled.wrappedBuffer(body));
+        request.headers().set(exchange.headers()).set(BUDGET_HEADER, budgetMillis);
+        if (body.length > 0 || exchange.method().equals(HttpMethod.POST)) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         }
         return request;
@@ -30,10 +31,12 @@
 
     /** The head of a request whose body follows in parts; it says how long the body is if the client did. */
     static HttpRequest streamingHead(Exchange exchange) {
-        HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, exchange.method, exchange.uri);
-        head.headers().set(exchange.headers).set(BUDGET_HEADER, exchange.request.timeLeftMicros() / 1_000);
-        if (exchange.contentLength >= 0) {
-            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, exchange.contentLength);
+        HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, exchange.method(), exchange.uri());
+        head.headers()
+                .set(exchange.headers())
+                .set(BUDGET_HEADER, exchange.request().timeLeftMicros() / 1_000);
+        if (exchange.contentLength() >= 0) {
+            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, exchange.contentLength());
         } else {
             head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
--- a/src/main/java/sedgeyoke/serve/BalancerMain.java
+++ b/src/main/java/sedgeyoke/serve/BalancerMain.java
@@ -6,10 +6,10 @@
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
 import java.nio.channels.ServerSocketChannel;
-import sedgeyoke.proxy.BalancerConfig;
-import sedgeyoke.proxy.BalancerServer;
-import sedgeyoke.proxy.InvalidConfigException;
-import sedgeyoke.proxy.JitWarmUp;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.config.InvalidConfigException;
+import sedgeyoke.proxy.lifecycle.BalancerServer;
+import sedgeyoke.proxy.lifecycle.JitWarmUp;
 
 /**
  * Starts one balancer from its environment and shuts it down gracefully on SIGTERM. What the operator's file turns on
--- a/src/main/java/sedgeyoke/settings/Addresses.java
+++ b/src/main/java/sedgeyoke/settings/Addresses.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sedgeyoke.proxy.IpAddress;
+import sedgeyoke.proxy.config.IpAddress;
 
 /** Parses and checks the addresses in an operator's file. */
 final class Addresses {
--- a/src/main/java/sedgeyoke/settings/OperatorFile.java
+++ b/src/main/java/sedgeyoke/settings/OperatorFile.java
@@ -8,7 +8,7 @@
 import java.util.Objects;
 import java.util.function.Consumer;
 import sedgeyoke.body.BodyLimits;
-import sedgeyoke.proxy.IpAddress;
+import sedgeyoke.proxy.config.IpAddress;
 
 /**
  * The values of a valid operator's file, by section. Every key has a default, so that an empty file is valid and turns
--- a/src/test/java/sedgeyoke/plan/remote/PlannerConnectionTest.java
+++ b/src/test/java/sedgeyoke/plan/remote/PlannerConnectionTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sedgeyoke.plan.PlanSubscriber;
 import sedgeyoke.policy.LoadBalancingPolicy;
-import sedgeyoke.proxy.PolicyPort;
+import sedgeyoke.proxy.core.PolicyPort;
 import sedgeyoke.settings.OperatorFile;
 import sedgeyoke.settings.PlannerSettings;
 import sedgeyoke.settings.TlsFiles;
--- a/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
+++ b/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
@@ -24,6 +24,7 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
 import sedgeyoke.body.BodyLimits;
+import sedgeyoke.proxy.exchange.RequestBody;
 
 /** Whatever the splits, pauses and resets: what comes out equals what went in, or is visibly cut; nothing is kept. */
 class BodyPropertiesTest {
--- a/src/test/java/sedgeyoke/proxy/DiscoveryTest.java
+++ b/src/test/java/sedgeyoke/proxy/DiscoveryTest.java
@@ -9,6 +9,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import sedgeyoke.policy.LoadBalancingPolicy;
+import sedgeyoke.proxy.config.BalancerConfig;
 
 /** Endpoint lists from discovery, and what stays in force when it fails. */
 class DiscoveryTest {
--- a/src/test/java/sedgeyoke/proxy/GracefulShutdownTest.java
+++ b/src/test/java/sedgeyoke/proxy/GracefulShutdownTest.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
+import sedgeyoke.proxy.lifecycle.ShutdownDeadlines;
 
 /**
  * SIGTERM on a machine that is late: whatever is taken is answered before SIGKILL, and what cannot be answered any more
--- a/src/test/java/sedgeyoke/proxy/InvalidConfigTest.java
+++ b/src/test/java/sedgeyoke/proxy/InvalidConfigTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import sedgeyoke.proxy.config.InvalidConfigException;
 
 /** A start with an invalid configuration ends with one line that names the problem. */
 class InvalidConfigTest {
--- a/src/test/java/sedgeyoke/proxy/JitWarmUpTest.java
+++ b/src/test/java/sedgeyoke/proxy/JitWarmUpTest.java
@@ -6,6 +6,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.lifecycle.JitWarmUp;
 
 /** The warm-up before the first client, and the training run of the class archive. */
 class JitWarmUpTest {
@@ -16,7 +18,7 @@
                         System.getProperty("java.home") + "/bin/java",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "sedgeyoke.proxy.ClassArchiveTraining")
+                        "sedgeyoke.proxy.lifecycle.ClassArchiveTraining")
                 .redirectErrorStream(true)
                 .start();
         String output = new String(training.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/src/test/java/sedgeyoke/proxy/Loopback.java
+++ b/src/test/java/sedgeyoke/proxy/Loopback.java
@@ -24,6 +24,10 @@
 import sedgeyoke.body.BodyLimits;
 import sedgeyoke.policy.LoadBalancingPolicy;
 import sedgeyoke.policy.UtilizationWeightedPolicy;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.config.BalancerConfig;
+import sedgeyoke.proxy.core.ProxyCore;
+import sedgeyoke.proxy.lifecycle.BalancerServer;
 
 /** A balancer on loopback with its discovery and the clients of a test. */
 final class Loopback implements AutoCloseable {
--- a/src/test/java/sedgeyoke/proxy/ServingTest.java
+++ b/src/test/java/sedgeyoke/proxy/ServingTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import sedgeyoke.proxy.upstream.UpstreamConnectionPool;
 
 /** From client to upstream and back, and each way in which that goes wrong. */
 class ServingTest {
--- a/src/test/java/sedgeyoke/proxy/StoredCordonsTest.java
+++ b/src/test/java/sedgeyoke/proxy/StoredCordonsTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import sedgeyoke.proxy.cordon.CordonStore;
 
 /** A file of cordoned upstreams that an earlier program wrote: it is found, read, and written alike. */
 class StoredCordonsTest {
--- a/src/test/java/sedgeyoke/proxy/RequestValidatorTest.java
+++ b/src/test/java/sedgeyoke/proxy/client/RequestValidatorTest.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.client;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import sedgeyoke.proxy.exchange.RejectionReason;
 
 /** Each kind of invalid message is rejected for its own reason, and a valid one is passed on. */
 class RequestValidatorTest {
--- a/src/test/java/sedgeyoke/proxy/CordonSetTest.java
+++ b/src/test/java/sedgeyoke/proxy/cordon/CordonSetTest.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.cordon;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sedgeyoke/proxy/RevisionTrackerTest.java
+++ b/src/test/java/sedgeyoke/proxy/discovery/RevisionTrackerTest.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,6 +6,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import sedgeyoke.proxy.config.EndpointList;
 
 /** Which answers of discovery replace the endpoint list in force. */
 class RevisionTrackerTest {
--- a/src/test/java/sedgeyoke/proxy/ConnectFailuresTest.java
+++ b/src/test/java/sedgeyoke/proxy/upstream/ConnectFailuresTest.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/sedgeyoke/proxy/EndpointTableTest.java
+++ b/src/test/java/sedgeyoke/proxy/upstream/EndpointTableTest.java
@@ -1,4 +1,4 @@
-package sedgeyoke.proxy;
+package sedgeyoke.proxy.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,6 +11,9 @@
 import org.junit.jupiter.api.Test;
 import sedgeyoke.policy.LoadBalancingPolicy.State;
 import sedgeyoke.policy.LoadBalancingPolicy.Upstream;
+import sedgeyoke.proxy.common.Transport;
+import sedgeyoke.proxy.config.EndpointList;
+import sedgeyoke.proxy.cordon.CordonSet;
 
 /** Which upstreams are listed and ready after lists and cordons. */
 class EndpointTableTest {
