--- a/src/main/java/sedgeyoke/consensus/ConfigSchema.java
+++ b/src/main/java/sedgeyoke/consensus/ConfigSchema.java
@@ -39,9 +39,7 @@
     public static final ConfigField BALANCERS = number(
             "balancers",
             "balancers",
-            1,
-            MAX_BALANCERS,
-            1,
+            new Range(1, MAX_BALANCERS, 1),
             MergeRule.MAXIMUM,
             WithoutLease.FLOOR,
             "number of balancers that budgets are divided among");
@@ -50,9 +48,7 @@
     public static final ConfigField BALANCERS_FLOOR = number(
             "balancers_alone",
             "balancers",
-            1,
-            MAX_BALANCERS,
-            MAX_BALANCERS,
+            new Range(1, MAX_BALANCERS, MAX_BALANCERS),
             MergeRule.MAXIMUM,
             WithoutLease.IS_FLOOR,
             SAME_WITHOUT_CONTACT);
@@ -61,9 +57,7 @@
     public static final ConfigField RETRY_RATIO = number(
             "retries",
             "retries per first attempt",
-            0,
-            1,
-            1,
+            new Range(0, 1, 1),
             MergeRule.MINIMUM,
             WithoutLease.FLOOR,
             "ratio of retries to first attempts, over all balancers");
@@ -72,9 +66,7 @@
     public static final ConfigField RETRY_RATIO_FLOOR = number(
             "retries_alone",
             "retries per first attempt",
-            0,
-            1,
-            0,
+            new Range(0, 1, 0),
             MergeRule.MINIMUM,
             WithoutLease.IS_FLOOR,
             SAME_WITHOUT_CONTACT);
@@ -83,16 +75,19 @@
     public static final ConfigField SLOW_START_SHARE = number(
             "cold_share",
             "share",
-            0,
-            1,
-            1,
+            new Range(0, 1, 1),
             MergeRule.MINIMUM,
             WithoutLease.FLOOR,
             "share of the slow-start quota that the settings allow");
 
     /** The floor of {@link #SLOW_START_SHARE}. */
     public static final ConfigField SLOW_START_SHARE_FLOOR = number(
-            "cold_share_alone", "share", 0, 1, 0, MergeRule.MINIMUM, WithoutLease.IS_FLOOR, SAME_WITHOUT_CONTACT);
+            "cold_share_alone",
+            "share",
+            new Range(0, 1, 0),
+            MergeRule.MINIMUM,
+            WithoutLease.IS_FLOOR,
+            SAME_WITHOUT_CONTACT);
 
     /** The largest share of the capacity for each tenant. */
     public static final ConfigField TENANT_QUOTAS = new ConfigField(
@@ -133,19 +128,24 @@
             DEDUPLICATING_GROUPS,
             PLANNERS);
 
+    /** The values that a number may have, limits included, and the one that it has where a document lacks it. */
+    private record Range(double min, double max, double defaultValue) {}
+
     private ConfigSchema() {}
 
     private static ConfigField number(
-            String name,
-            String unit,
-            double min,
-            double max,
-            double defaultValue,
-            MergeRule mergeRule,
-            WithoutLease withoutLease,
-            String description) {
+            String name, String unit, Range range, MergeRule mergeRule, WithoutLease withoutLease, String description) {
         return new ConfigField(
-                name, Kind.NUMBER, unit, min, max, defaultValue, mergeRule, withoutLease, 1, description);
+                name,
+                Kind.NUMBER,
+                unit,
+                range.min(),
+                range.max(),
+                range.defaultValue(),
+                mergeRule,
+                withoutLease,
+                1,
+                description);
     }
 
     private static ConfigField names(String name, String unit, int maxNames, MergeRule mergeRule, String description) {
--- a/src/main/java/sedgeyoke/consensus/ConfigSubscriber.java
+++ b/src/main/java/sedgeyoke/consensus/ConfigSubscriber.java
@@ -72,7 +72,7 @@
         ConfigVersion nextActive = versionOf(response.activeVersion(), receivedActive);
         ConfigVersion nextPending =
                 response.pendingVersion() == 0 ? null : versionOf(response.pendingVersion(), receivedPending);
-        if (nextActive == null || response.pendingVersion() != 0 && nextPending == null) {
+        if (nextActive == null || (response.pendingVersion() != 0 && nextPending == null)) {
             return false; // a version is missing
         }
         active = nextActive;
--- a/src/main/java/sedgeyoke/consensus/MembershipChange.java
+++ b/src/main/java/sedgeyoke/consensus/MembershipChange.java
@@ -42,7 +42,7 @@
         Member removed = membership.member(request.name());
         if (isChangePending()) {
             return "an earlier membership change is not committed yet";
-        } else if (removed == null || request.storageId() != 0 && request.storageId() != removed.storageId()) {
+        } else if (removed == null || (request.storageId() != 0 && request.storageId() != removed.storageId())) {
             return request.name() + " with that storage id is not a member";
         } else if (membership.voters().size() == 1 && membership.voters().containsKey(request.name())) {
             return "the last voter cannot be removed";
--- a/src/main/java/sedgeyoke/consensus/RaftNode.java
+++ b/src/main/java/sedgeyoke/consensus/RaftNode.java
@@ -89,7 +89,7 @@
         applier = new EntryApplier(state, outbox, requests, membershipChange);
         identities = new PeerIdentities(state, outbox, persistence, replication);
         recoveryQueries = new RecoveryQueries(state, outbox, persistence, roles);
-        messageDispatch = new MessageDispatch(
+        messageDispatch = new MessageDispatch(new MessageDispatch.Handlers(
                 election,
                 replication,
                 new AppendEntriesHandler(state, persistence, roles),
@@ -97,7 +97,7 @@
                 identities,
                 recoveryQueries,
                 requests,
-                leases);
+                leases));
         persistence.hardStateChanged(); // others must not learn of the new incarnation before it is on disk
         election.restartTimeout();
     }
--- a/src/main/java/sedgeyoke/consensus/RecoveryQueries.java
+++ b/src/main/java/sedgeyoke/consensus/RecoveryQueries.java
@@ -64,7 +64,7 @@
     }
 
     void handle(String from, RaftMessage.NotAMember notice) {
-        if (!state.isLeader() && isWarningDue() || warnedAtMicros == 0) {
+        if ((!state.isLeader() && isWarningDue()) || warnedAtMicros == 0) {
             recordWarning();
             outbox.log(from + " reports that this replica " + notice.reason()
                     + "; it takes part in no decision until it is added ('config-servers add')");
--- a/src/main/java/sedgeyoke/consensus/SafetyRules.java
+++ b/src/main/java/sedgeyoke/consensus/SafetyRules.java
@@ -29,7 +29,7 @@
      * 3.6.1).
      */
     boolean isLogUpToDate(long lastIndex, long lastTerm, long ownIndex, long ownTerm) {
-        return lastTerm > ownTerm || lastTerm == ownTerm && lastIndex >= ownIndex;
+        return lastTerm > ownTerm || (lastTerm == ownTerm && lastIndex >= ownIndex);
     }
 
     /**
@@ -82,7 +82,7 @@
 
     /** Whether a replica has an old copy of its disk: without an incarnation, or a term, that others know of. */
     boolean isOutdatedReplica(long knownIncarnation, List<Long> incarnations, long lastSeenTerm, long term) {
-        return knownIncarnation != 0 && !incarnations.contains(knownIncarnation) || term < lastSeenTerm;
+        return (knownIncarnation != 0 && !incarnations.contains(knownIncarnation)) || term < lastSeenTerm;
     }
 
     /** Whether a replica is the known one, and not another one with its name. */
--- a/src/main/java/sedgeyoke/consensus/server/BalancerSubscriptions.java
+++ b/src/main/java/sedgeyoke/consensus/server/BalancerSubscriptions.java
@@ -99,7 +99,7 @@
         Optional<ConfigVersion> active = version(response.activeVersion());
         Optional<ConfigVersion> pending = version(response.pendingVersion());
         boolean hasPending = response.pendingVersion() != 0;
-        if (active.isEmpty() || hasPending && pending.isEmpty()) {
+        if (active.isEmpty() || (hasPending && pending.isEmpty())) {
             return; // the balancer requests the lease again
         }
         LeaseReplyMessage.Builder reply = LeaseReplyMessage.newBuilder().setResponse(ClientCodec.encode(response));
--- a/src/main/java/sedgeyoke/consensus/server/ConfigServer.java
+++ b/src/main/java/sedgeyoke/consensus/server/ConfigServer.java
@@ -41,27 +41,32 @@
     private boolean stopped;
 
     /**
-     * Creates the server; throws if the TLS files cannot be loaded.
+     * What the process provides.
      *
      * @param loop runs the Raft node and all connections
      * @param diskThread runs one task after the other, on another thread
-     * @param incarnation number of this process, drawn at its start
      * @param clock monotonic, in microseconds
+     * @param log receives each line of the log
      * @param onFailure called on the loop with the reason when the server cannot continue; the process must end then
      */
-    public ConfigServer(
+    public record Host(
             EventLoop loop,
             Executor diskThread,
-            ConfigServerSettings settings,
-            SafetyRules rules,
-            ReplicaStorage storage,
-            long incarnation,
             LongSupplier clock,
             Consumer<String> log,
-            Consumer<String> onFailure)
+            Consumer<String> onFailure) {}
+
+    /**
+     * Creates the server; throws if the TLS files cannot be loaded.
+     *
+     * @param incarnation number of this process, drawn at its start
+     */
+    public ConfigServer(
+            Host host, ConfigServerSettings settings, SafetyRules rules, ReplicaStorage storage, long incarnation)
             throws IOException {
-        this.onFailure = onFailure;
-        this.context = new ServerContext(loop, settings, storage.storageId(), clock, log, this::handle);
+        Consumer<String> log = host.log();
+        this.onFailure = host.onFailure();
+        this.context = new ServerContext(host.loop(), settings, storage.storageId(), host.clock(), log, this::handle);
         MutualTls serverTls = MutualTls.forServer(settings.tls(), log);
         MutualTls clientTls = MutualTls.forClient(settings.tls(), log);
         SplittableRandom random = new SplittableRandom(incarnation);
@@ -72,12 +77,12 @@
                 storage.founders(),
                 new ProtobufSnapshotCodec(),
                 random.split(),
-                clock.getAsLong());
+                host.clock().getAsLong());
         this.peers = new PeerConnections(context, clientTls, random);
         this.subscriptions = new BalancerSubscriptions(context, node);
         this.operatorRequests = new OperatorRequests(context, node, rules.timing(), subscriptions);
         this.incoming = new IncomingConnections(context, serverTls, subscriptions, operatorRequests);
-        this.persistence = new PersistenceExecutor(diskThread, storage, context, this::fail);
+        this.persistence = new PersistenceExecutor(host.diskThread(), storage, context, this::fail);
     }
 
     /** Listens, connects to the other servers, and returns the bound address. Must not be called on the loop. */
--- a/src/main/java/sedgeyoke/consensus/server/ConfigServerMain.java
+++ b/src/main/java/sedgeyoke/consensus/server/ConfigServerMain.java
@@ -128,19 +128,11 @@
         SafetyRules rules = new SafetyRules(
                 RaftTiming.defaults(settings.leaseMs() * MICROS_PER_MILLI, new ClockDrift(settings.driftPpm())));
         ServerStartup.listen(logName(settings), settings.listen(), () -> {
-            ConfigServer server = new ConfigServer(
-                    loop,
-                    newDiskThread(),
-                    settings,
-                    rules,
-                    storage,
-                    ServerStartup.newIncarnation(),
-                    clock,
-                    log::line,
-                    reason -> {
-                        System.err.println(logName(settings) + ": " + reason);
-                        failed.countDown();
-                    });
+            ConfigServer.Host host = new ConfigServer.Host(loop, newDiskThread(), clock, log::line, reason -> {
+                System.err.println(logName(settings) + ": " + reason);
+                failed.countDown();
+            });
+            ConfigServer server = new ConfigServer(host, settings, rules, storage, ServerStartup.newIncarnation());
             InetSocketAddress address = server.start();
             transferLeadershipOnShutdown(server, failed);
             return address;
--- a/src/main/java/sedgeyoke/drill/BodiesDrill.java
+++ b/src/main/java/sedgeyoke/drill/BodiesDrill.java
@@ -103,8 +103,9 @@
     }
 
     private ProgramProcess balancer(Path folder, Path log, BulkSite site) throws IOException {
-        ObjectNode configuration = (ObjectNode) JSON.readTree(
-                Configurations.of(site.spec(), BALANCER, "127.0.0.1:0", site.discoveryFor(BALANCER), 0, 0, 1, seed));
+        ObjectNode configuration = (ObjectNode) JSON.readTree(Configurations.of(
+                site.spec(),
+                new Configurations.BalancerSpec(BALANCER, "127.0.0.1:0", site.discoveryFor(BALANCER), 0, 0, 1, seed)));
         configuration.withObject("/limits").put("sockets", SOCKETS);
         Path json = Files.writeString(folder.resolve(BALANCER + ".json"), configuration.toString());
         Path toml = Files.writeString(folder.resolve(BALANCER + ".toml"), operatorSettings());
--- a/src/main/java/sedgeyoke/drill/ConfigWriter.java
+++ b/src/main/java/sedgeyoke/drill/ConfigWriter.java
@@ -29,47 +29,41 @@
     private static final int MIN_PAUSE_MS = 3_000;
     private static final int PAUSE_SPREAD_MS = 4_000;
 
-    private final int index;
-    private final int nodes;
-    private final Site site;
-    private final ConsensusTier tier;
-    private final TlsFiles files;
+    private final Target target;
+    private final String name;
     private final ConsensusHistory history;
-    private final AdminBroadcast broadcast;
     private final SplittableRandom random;
     private final BooleanSupplier stopped;
 
-    /** {@code broadcast} is null where balancers follow the config servers. */
-    ConfigWriter(
-            int index,
-            int nodes,
-            Site site,
-            ConsensusTier tier,
-            TlsFiles files,
-            ConsensusHistory history,
-            AdminBroadcast broadcast,
-            long seed,
-            BooleanSupplier stopped) {
-        this.index = index;
-        this.nodes = nodes;
-        this.site = site;
-        this.tier = tier;
-        this.files = files;
+    /**
+     * The tier that all writers of a drill write to.
+     *
+     * @param nodes number of nodes of the site
+     * @param files the TLS files of an operator
+     * @param broadcast changes balancers that do not follow the config servers; null where they do
+     */
+    record Target(int nodes, Site site, ConsensusTier tier, TlsFiles files, AdminBroadcast broadcast) {}
+
+    /** A writer with a name of its own; ends after the present write once {@code stopped} says so. */
+    ConfigWriter(String name, Target target, ConsensusHistory history, long seed, BooleanSupplier stopped) {
+        this.name = name;
+        this.target = target;
         this.history = history;
-        this.broadcast = broadcast;
         this.random = new SplittableRandom(seed);
         this.stopped = stopped;
     }
 
     @Override
     public void run() {
-        try (ConfigClient client = new ConfigClient(tier.configServerAddresses(), ConsensusDrill.OPERATOR, files)) {
+        try (ConfigClient client =
+                new ConfigClient(target.tier().configServerAddresses(), ConsensusDrill.OPERATOR, target.files())) {
             for (int i = 0; !stopped.getAsBoolean(); i++) {
-                long startMicros = site.now();
+                long startMicros = target.site().now();
                 ConfigResponse current = client.submit(new ClientRequest.Read(), REQUEST_TIMEOUT_MS);
                 if (current.result().kind() == RequestResult.Kind.DONE) {
-                    history.recordRead(startMicros, site.now(), current.result().version());
-                    write(client, current, name() + "-" + i);
+                    history.recordRead(
+                            startMicros, target.site().now(), current.result().version());
+                    write(client, current, name + "-" + i);
                     Thread.sleep(MIN_PAUSE_MS + random.nextInt(PAUSE_SPREAD_MS));
                 }
             }
@@ -80,19 +74,15 @@
 
     private void write(ConfigClient client, ConfigResponse current, String requestId) throws InterruptedException {
         ConfigDocument previous = current.newest().content();
-        String node = "n" + (1 + random.nextInt(nodes));
+        String node = "n" + (1 + random.nextInt(target.nodes()));
         ConfigDocument content = previous.with(ConfigSchema.DISABLED_UPSTREAMS, Map.of(node, "drill"));
-        long startMicros = site.now();
-        RequestResult result = client.write(requestId, current.newest(), name(), "drill", content, REQUEST_TIMEOUT_MS)
+        long startMicros = target.site().now();
+        RequestResult result = client.write(requestId, current.newest(), name, "drill", content, REQUEST_TIMEOUT_MS)
                 .result();
-        if (broadcast != null && result.kind() == RequestResult.Kind.DONE) {
-            broadcast.send(previous, content);
+        if (target.broadcast() != null && result.kind() == RequestResult.Kind.DONE) {
+            target.broadcast().send(previous, content);
         }
-        history.recordWrite(startMicros, site.now(), result, content);
-    }
-
-    private String name() {
-        return "w" + index;
+        history.recordWrite(startMicros, target.site().now(), result, content);
     }
 
     /**
--- a/src/main/java/sedgeyoke/drill/ConsensusDrill.java
+++ b/src/main/java/sedgeyoke/drill/ConsensusDrill.java
@@ -92,11 +92,11 @@
     private List<Thread> startWriters(Site site, ConsensusTier tier, TlsFiles files) {
         ConfigWriter.AdminBroadcast broadcast =
                 options.mode() == Mode.WITHOUT ? new ConfigWriter.AdminBroadcast(tier, faults) : null;
+        ConfigWriter.Target target = new ConfigWriter.Target(NODES, site, tier, files, broadcast);
         List<Thread> writers = new ArrayList<>();
         for (int i = 0; i < WRITERS; i++) {
             long seed = options.seed() * 7 + i;
-            Thread writer =
-                    new Thread(new ConfigWriter(i, NODES, site, tier, files, history, broadcast, seed, () -> stopped));
+            Thread writer = new Thread(new ConfigWriter("w" + i, target, history, seed, () -> stopped));
             writers.add(writer);
             writer.start();
         }
--- a/src/main/java/sedgeyoke/drill/TierProcesses.java
+++ b/src/main/java/sedgeyoke/drill/TierProcesses.java
@@ -154,6 +154,8 @@
     public static String configuration(
             Site site, String name, int zone, int position, int groupSize, long discoveryDelayMs, long seed) {
         String discovery = site.discoveryFor(name, discoveryDelayMs);
-        return Configurations.of(site.spec(), name, "127.0.0.1:0", discovery, zone, position, groupSize, seed);
+        return Configurations.of(
+                site.spec(),
+                new Configurations.BalancerSpec(name, "127.0.0.1:0", discovery, zone, position, groupSize, seed));
     }
 }
--- a/src/main/java/sedgeyoke/drill/soak/SoakConfigurations.java
+++ b/src/main/java/sedgeyoke/drill/soak/SoakConfigurations.java
@@ -22,15 +22,9 @@
 
     /** A configuration that lists {@code known} as the endpoints to start with. */
     String of(String name, int port, String discovery, int zone, int position, String known) throws IOException {
-        String text = Configurations.of(
-                plan.site(),
-                name,
-                "127.0.0.1:" + port,
-                discovery,
-                zone,
-                position,
-                plan.balancers(),
-                plan.seed() + position);
+        Configurations.BalancerSpec balancer = new Configurations.BalancerSpec(
+                name, "127.0.0.1:" + port, discovery, zone, position, plan.balancers(), plan.seed() + position);
+        String text = Configurations.of(plan.site(), balancer);
         ObjectNode root = (ObjectNode) JSON.readTree(text);
         root.set("known", JSON.readTree(known));
         ObjectNode settings = (ObjectNode) root.path("settings");
--- a/src/main/java/sedgeyoke/experiment/Severity.java
+++ b/src/main/java/sedgeyoke/experiment/Severity.java
@@ -35,7 +35,7 @@
 
     /** Whether a reduced scenario shows about the same. */
     boolean isStillShownBy(Severity reduced) {
-        return reduced.breaksRules() || !breaksRules() && reduced.loss >= KEPT_LOSS * loss;
+        return reduced.breaksRules() || (!breaksRules() && reduced.loss >= KEPT_LOSS * loss);
     }
 
     @Override
--- a/src/main/java/sedgeyoke/policy/OutlierDetection.java
+++ b/src/main/java/sedgeyoke/policy/OutlierDetection.java
@@ -128,7 +128,7 @@
     /** Whether it is ejected, or was and already has the one attempt that it may have until one succeeds. */
     static boolean isEjected(UpstreamState upstream, long nowMicros) {
         State state = upstream.outlier;
-        return state.ejectedUntilMicros > nowMicros || state.recovering() && upstream.inFlight.attempts() > 0;
+        return state.ejectedUntilMicros > nowMicros || (state.recovering() && upstream.inFlight.attempts() > 0);
     }
 
     /** Whether so many upstreams are ejected that the rest could not take their load. */
--- a/src/main/java/sedgeyoke/policy/RetryPolicy.java
+++ b/src/main/java/sedgeyoke/policy/RetryPolicy.java
@@ -103,10 +103,10 @@
 
     private static boolean sharesKeys(Scope scope, UpstreamState earlier, UpstreamState next) {
         return scope == Scope.ALL
-                || scope == Scope.ZONE
-                        && earlier.endpoint().zone() == next.endpoint().zone()
-                || scope == Scope.CELL
-                        && earlier.endpoint().cell() == next.endpoint().cell();
+                || (scope == Scope.ZONE
+                        && earlier.endpoint().zone() == next.endpoint().zone())
+                || (scope == Scope.CELL
+                        && earlier.endpoint().cell() == next.endpoint().cell());
     }
 
     /** Whether a final response may tell the client that a retry is harmless. */
@@ -114,6 +114,6 @@
         Effect effect = request.requestClass.effect();
         return effect == Effect.SAFE
                 || !request.mayHaveRun()
-                || effect == Effect.IDEMPOTENT_WITH_KEY && request.requestClass.scope() == Scope.ALL;
+                || (effect == Effect.IDEMPOTENT_WITH_KEY && request.requestClass.scope() == Scope.ALL);
     }
 }
--- a/src/main/java/sedgeyoke/policy/UpstreamScore.java
+++ b/src/main/java/sedgeyoke/policy/UpstreamScore.java
@@ -32,7 +32,7 @@
         TrafficRegime regime = regimes.current();
         double warmUpFactor = slowStart.warmUpFactor(upstream, nowMicros);
         double weight = weight(upstream, request, warmUpFactor);
-        boolean favoured = isAffinityUpstream || regime.prefersWarmingUp() && warmUpFactor < 1;
+        boolean favoured = isAffinityUpstream || (regime.prefersWarmingUp() && warmUpFactor < 1);
         double affinityFactor = favoured ? fourthPower(regime.affinityWeight()) : 1;
         double inFlight = upstream.inFlight.inMeanRequests(costs.mean());
         double others = regime.othersInFlight(reports, upstream, nowMicros);
--- a/src/main/java/sedgeyoke/settings/OperatorFileReader.java
+++ b/src/main/java/sedgeyoke/settings/OperatorFileReader.java
@@ -138,9 +138,9 @@
                     IntStream.range(0, array.size()).mapToObj(array::get).toList();
             return type == Key.Type.STRINGS && items.stream().allMatch(String.class::isInstance) ? items : null;
         }
-        boolean fits = type == Key.Type.BOOLEAN && value instanceof Boolean
-                || type == Key.Type.INTEGER && value instanceof Long
-                || type == Key.Type.STRING && value instanceof String;
+        boolean fits = (type == Key.Type.BOOLEAN && value instanceof Boolean)
+                || (type == Key.Type.INTEGER && value instanceof Long)
+                || (type == Key.Type.STRING && value instanceof String);
         return fits ? value : null;
     }
 
@@ -190,7 +190,7 @@
             Object value = values.get(path);
             boolean reported = problems.stream()
                     .anyMatch(problem -> RenamedKeys.currentPath(problem.key()).equals(path));
-            if (!reported && (value == null || value instanceof List<?> list && list.isEmpty())) {
+            if (!reported && (value == null || (value instanceof List<?> list && list.isEmpty()))) {
                 report(currentLine(section + ".enabled"), path, "is needed where " + section + ".enabled is true");
             }
         }
--- a/src/main/java/sedgeyoke/simulation/EventQueue.java
+++ b/src/main/java/sedgeyoke/simulation/EventQueue.java
@@ -93,7 +93,7 @@
     }
 
     private boolean isBefore(int index, long time, long sequenceNumber) {
-        return times[index] < time || times[index] == time && sequenceNumbers[index] < sequenceNumber;
+        return times[index] < time || (times[index] == time && sequenceNumbers[index] < sequenceNumber);
     }
 
     private void move(int from, int to) {
--- a/src/main/java/sedgeyoke/simulation/SimulatedClients.java
+++ b/src/main/java/sedgeyoke/simulation/SimulatedClients.java
@@ -107,7 +107,7 @@
 
         private long drawBackoff(long retryAfterMicros) {
             long backoffMicros =
-                    (long) ((0.5 + random.nextDouble()) * (FIRST_BACKOFF_MICROS << operation.attempts - 1));
+                    (long) ((0.5 + random.nextDouble()) * (FIRST_BACKOFF_MICROS << (operation.attempts - 1)));
             return switch (context.scenario.traffic().retries()) {
                 case NONE -> NO_RETRY;
                 case AT_ONCE -> 1;
--- a/src/main/java/sedgeyoke/simulation/UpstreamTransport.java
+++ b/src/main/java/sedgeyoke/simulation/UpstreamTransport.java
@@ -91,7 +91,7 @@
     private void connect(SimulatedAttempt attempt, int targetZone) {
         SimulatedUpstream upstream = upstreams.at(attempt.address());
         int maxConnections = context.scenario.network().maxConnections();
-        if (upstream == null || maxConnections > 0 && upstream.connections() >= maxConnections) {
+        if (upstream == null || (maxConnections > 0 && upstream.connections() >= maxConnections)) {
             scheduleEnd(attempt, 2 * context.drawDelay(zone, targetZone), Outcome.CONNECT_FAILED, null);
         } else if (upstream.model().unresponsive() || context.isPartitioned(zone, targetZone)) {
             scheduleEnd(attempt, connectTimeoutMicros, Outcome.CONNECT_FAILED, null);
--- a/src/main/java/sedgeyoke/standin/Configurations.java
+++ b/src/main/java/sedgeyoke/standin/Configurations.java
@@ -12,27 +12,36 @@
 
     private Configurations() {}
 
+    /**
+     * What tells one balancer of a site from another.
+     *
+     * @param listen the address on which it listens for clients
+     * @param discovery the address of its discovery agent
+     * @param zone index of its zone
+     * @param position its index in its group
+     * @param groupSize balancers in its group
+     * @param seed seed of its random numbers
+     */
+    public record BalancerSpec(
+            String name, String listen, String discovery, int zone, int position, int groupSize, long seed) {}
+
     /** The configuration of a balancer of a site. */
-    public static String of(
-            SiteModel site,
-            String name,
-            String listen,
-            String discovery,
-            int zone,
-            int position,
-            int group,
-            long seed) {
+    public static String of(SiteModel site, BalancerSpec balancer) {
         ObjectNode root = JSON.createObjectNode()
-                .put("name", name)
-                .put("listen", listen)
-                .put("discovery", discovery)
-                .put("seed", Long.toHexString(seed));
+                .put("name", balancer.name())
+                .put("listen", balancer.listen())
+                .put("discovery", balancer.discovery())
+                .put("seed", Long.toHexString(balancer.seed()));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 1_024);
         root.putObject("known").put("revision", 0).put("complete", true).putArray("members");
-        ObjectNode settings = root.putObject("settings")
-                .put("az", zone)
-                .put("group-size", group)
-                .put("position", position)
+        putSettings(root.putObject("settings"), site, balancer);
+        return root.toString();
+    }
+
+    private static void putSettings(ObjectNode settings, SiteModel site, BalancerSpec balancer) {
+        settings.put("az", balancer.zone())
+                .put("group-size", balancer.groupSize())
+                .put("position", balancer.position())
                 .put("discovery", "pushed")
                 .put("tick-s", 0.005)
                 .put("weights", "silent")
@@ -46,8 +55,14 @@
                 .put("waste", 0.02);
         ObjectNode report = settings.putObject("report").put("via", "piggyback");
         report.putArray("names").add("waiting").add("cpu").add("avg_ms");
-        settings.putObject("ceilings")
-                .put("cancel", true)
+        putLimits(settings.putObject("ceilings"), site);
+        putRules(settings.putObject("rules"), site);
+        ArrayNode classes = settings.putArray("classes");
+        site.classes().forEach(requestClass -> putClass(classes.addObject(), requestClass));
+    }
+
+    private static void putLimits(ObjectNode limits, SiteModel site) {
+        limits.put("cancel", true)
                 .put("may-duplicate", true)
                 .put("try-limit", 4)
                 .put("max-open", 20_000)
@@ -56,26 +71,26 @@
                 .put("multiplex", 1)
                 .put("retry-after", site.retryAfter())
                 .put("max-retry-after-s", 1.2);
-        settings.putObject("rules")
-                .put("answer-slack-s", 0.02)
+    }
+
+    private static void putRules(ObjectNode rules, SiteModel site) {
+        rules.put("answer-slack-s", 0.02)
                 .put("ask-within-s", 10.0)
                 .put("drain-grace-s", site.rules().drainGraceMs() / 1e3)
                 .put("start-capacity", site.rules().startCapacity())
                 .put("cold-s", site.rules().warmUpMs() / 1e3)
                 .put("fall-multiple", site.rules().overloadMultiple())
                 .put("fall-s", site.rules().overloadWindowMs() / 1e3);
-        ArrayNode classes = settings.putArray("classes");
-        for (RequestClassModel requestClass : site.classes()) {
-            classes.addObject()
-                    .put("name", requestClass.name())
-                    .put("repeat", requestClass.idempotency().settingsName())
-                    .put("aim-s", requestClass.latencyObjectiveMs() / 1e3)
-                    .put("give-up-s", requestClass.clientTimeoutMs() / 1e3)
-                    .put("worth", requestClass.priorityWeight())
-                    .put("late-worth", 0.0)
-                    .put("dedup-scope", requestClass.keyed() ? "zone" : "all")
-                    .put("memory-span-s", 2.5);
-        }
-        return root.toString();
+    }
+
+    private static void putClass(ObjectNode node, RequestClassModel requestClass) {
+        node.put("name", requestClass.name())
+                .put("repeat", requestClass.idempotency().settingsName())
+                .put("aim-s", requestClass.latencyObjectiveMs() / 1e3)
+                .put("give-up-s", requestClass.clientTimeoutMs() / 1e3)
+                .put("worth", requestClass.priorityWeight())
+                .put("late-worth", 0.0)
+                .put("dedup-scope", requestClass.keyed() ? "zone" : "all")
+                .put("memory-span-s", 2.5);
     }
 }
--- a/src/main/java/sedgeyoke/standin/RequestGenerator.java
+++ b/src/main/java/sedgeyoke/standin/RequestGenerator.java
@@ -41,7 +41,7 @@
 
     /** An id that is random but for a counter in its last digits. */
     String drawId() {
-        return String.format("%016x", random.nextLong() & ~COUNTER_MASK | idCounter++ & COUNTER_MASK);
+        return String.format("%016x", (random.nextLong() & ~COUNTER_MASK) | (idCounter++ & COUNTER_MASK));
     }
 
     /** An index below a bound, evenly. */
--- a/src/main/java/sedgeyoke/store/FileDisk.java
+++ b/src/main/java/sedgeyoke/store/FileDisk.java
@@ -72,18 +72,18 @@
         }
     }
 
-    private static DiskException diskException(String file, IOException e) {
+    private static DiskException diskException(String file, IOException cause) {
         String text = String.valueOf(
-                e instanceof FileSystemException f && f.getReason() != null ? f.getReason() : e.getMessage());
+                cause instanceof FileSystemException f && f.getReason() != null ? f.getReason() : cause.getMessage());
         DiskException.Kind kind = DiskException.Kind.IO_ERROR;
-        if (e instanceof NoSuchFileException) {
+        if (cause instanceof NoSuchFileException) {
             kind = DiskException.Kind.NOT_FOUND;
         } else if (text.contains("No space left") || text.contains("quota")) {
             kind = DiskException.Kind.FULL;
-        } else if (e instanceof AccessDeniedException || text.contains("Read-only")) {
+        } else if (cause instanceof AccessDeniedException || text.contains("Read-only")) {
             kind = DiskException.Kind.READ_ONLY;
         }
-        return new DiskException(kind, file, e.getClass().getSimpleName() + ": " + text);
+        return new DiskException(kind, file, cause.getClass().getSimpleName() + ": " + text);
     }
 
     private Path path(String file) {
--- a/src/test/java/sedgeyoke/body/BodyRulesTest.java
+++ b/src/test/java/sedgeyoke/body/BodyRulesTest.java
@@ -53,7 +53,7 @@
         } else if (body == PartialRequestPolicy.Body.PARTLY_FORWARDED || PROVES_IT_NEVER_RAN.contains(outcome)) {
             return PartialRequestPolicy.Next.REJECT;
         }
-        return effect == Effect.SAFE || effect == Effect.IDEMPOTENT_WITH_KEY && scope == Scope.ALL
+        return effect == Effect.SAFE || (effect == Effect.IDEMPOTENT_WITH_KEY && scope == Scope.ALL)
                 ? PartialRequestPolicy.Next.REJECT
                 : PartialRequestPolicy.Next.FAIL;
     }
--- a/src/test/java/sedgeyoke/simulation/SeededNetwork.java
+++ b/src/test/java/sedgeyoke/simulation/SeededNetwork.java
@@ -107,7 +107,7 @@
 
     /** Sends a message, which may be delayed, duplicated or lost. */
     protected final void send(int from, int to, Object body) {
-        if (linkDown[from][to] || !faultsStopped && random.nextDouble() < lossRate) {
+        if (linkDown[from][to] || (!faultsStopped && random.nextDouble() < lossRate)) {
             return;
         }
         int copies = !faultsStopped && random.nextInt(10) == 0 ? 2 : 1;
--- a/src/test/java/sedgeyoke/store/StoreTest.java
+++ b/src/test/java/sedgeyoke/store/StoreTest.java
@@ -206,7 +206,7 @@
                 disk.powerCut();
                 DualCopyFile again = DualCopyFile.open(disk, "slot");
                 String found = new String(again.content().orElseThrow(), UTF_8);
-                assertTrue(found.equals("new") || !saved && found.equals("old"), found + " cut " + cut);
+                assertTrue(found.equals("new") || (!saved && found.equals("old")), found + " cut " + cut);
             }
         }
     }
@@ -268,7 +268,7 @@
             copy.powerCut();
             SnapshotStore again = new SnapshotStore(copy, DIRECTORY_IDENTITY);
             long found = again.newest().orElseThrow().lastIndex();
-            assertTrue(found == 9 || !saved && found == 5, "cut " + cut + " found " + found);
+            assertTrue(found == 9 || (!saved && found == 5), "cut " + cut + " found " + found);
         }
     }
 
