--- a/src/test/java/sedgeyoke/policy/PolicyFixtures.java
+++ b/src/test/java/sedgeyoke/policy/PolicyFixtures.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import sedgeyoke.policy.LoadBalancingPolicy.Effect;
+import sedgeyoke.policy.LoadBalancingPolicy.ListKind;
 import sedgeyoke.policy.LoadBalancingPolicy.LoadReport;
 import sedgeyoke.policy.LoadBalancingPolicy.Request;
 import sedgeyoke.policy.LoadBalancingPolicy.Settings;
@@ -35,6 +36,13 @@
     final OutlierDetection outliers;
     final Deadlines deadlines;
     final UpstreamTable upstreams;
+    final UtilizationReweighting reweighting;
+    final KeyAffinity affinity;
+    final RequestQueue queue = new RequestQueue();
+    final UpstreamEligibility eligibility;
+    final UpstreamScore score;
+    final UpstreamSelector selector;
+    final AttemptSender sender;
     private long requestNumber;
 
     PolicyFixtures(PolicyHarness.Config config) {
@@ -54,6 +62,13 @@
         outliers = new OutlierDetection(settings, regimes, responseTimes);
         deadlines = new Deadlines(settings);
         upstreams = new UpstreamTable(settings, slowStart, limits, zones, regimes);
+        reweighting = new UtilizationReweighting(reports, ratings, jitter);
+        affinity = new KeyAffinity(settings, upstreams, ratings, zones, reports, regimes);
+        eligibility = new UpstreamEligibility(new RetryPolicy(settings, deadlines, regimes), limits, slowStart);
+        score = new UpstreamScore(regimes, reweighting, slowStart, zones, reports, costs);
+        selector = new UpstreamSelector(
+                upstreams, new Aperture(rates), eligibility, score, affinity, regimes, new SplittableRandom(3));
+        sender = new AttemptSender(actions, queue, outliers, limits, slowStart);
         dense();
     }
 
@@ -86,6 +101,27 @@
         return created;
     }
 
+    /** Lists upstreams that launched long ago; they are returned in this balancer's order. */
+    List<UpstreamState> list(int count) {
+        List<Upstream> entries = new ArrayList<>();
+        for (int number = 0; number < count; number++) {
+            entries.add(PolicyHarness.upstream(number, State.READY, 0));
+        }
+        upstreams.update(ListKind.COMPLETE, entries, NOW);
+        return upstreams.ready();
+    }
+
+    /** A request that arrives now with a work hint, whose cost is known. */
+    RequestState arrived(Effect effect) {
+        return arrived(new Request("r" + requestNumber, effect.ordinal(), 0, null, 100, 2 * SECOND, false, false));
+    }
+
+    RequestState arrived(Request request) {
+        RequestState state = request(request);
+        costs.assign(state);
+        return state;
+    }
+
     /** A request without a work hint that arrives now and has two seconds left. */
     RequestState request(Effect effect) {
         return request(effect, 0);
