--- /dev/null
+++ b/src/test/java/sedgeyoke/policy/JournaledPolicy.java
@@ -0,0 +1,199 @@
+package sedgeyoke.policy;
+
+import java.util.List;
+import java.util.SortedMap;
+import sedgeyoke.policy.LoadBalancingPolicy.AttemptEnd;
+import sedgeyoke.policy.LoadBalancingPolicy.Cordons;
+import sedgeyoke.policy.LoadBalancingPolicy.ListKind;
+import sedgeyoke.policy.LoadBalancingPolicy.LoadReport;
+import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
+import sedgeyoke.policy.LoadBalancingPolicy.Plan;
+import sedgeyoke.policy.LoadBalancingPolicy.Request;
+import sedgeyoke.policy.LoadBalancingPolicy.SlowStartQuota;
+import sedgeyoke.policy.LoadBalancingPolicy.Summary;
+import sedgeyoke.policy.LoadBalancingPolicy.Timer;
+import sedgeyoke.policy.LoadBalancingPolicy.Upstream;
+import sedgeyoke.policy.LoadBalancingPolicy.UpstreamStatus;
+import sedgeyoke.policy.LoadBalancingPolicy.UpstreamView;
+import sedgeyoke.policy.ReplayJournal.Kind;
+
+/** Notes each event in the journal and then delivers it to the policy. The order of notes is part of the digest. */
+final class JournaledPolicy {
+    /** The number of a failed call to discovery among the kinds of lists. */
+    private static final int DISCOVERY_FAILED = 3;
+
+    private final ReplayJournal journal;
+    private final ReplayClock clock;
+    private LoadBalancingPolicy policy;
+
+    JournaledPolicy(ReplayJournal journal, ReplayClock clock) {
+        this.journal = journal;
+        this.clock = clock;
+    }
+
+    /** Delivers to this policy, which is created later as its actions need this object. */
+    void deliverTo(LoadBalancingPolicy created) {
+        policy = created;
+    }
+
+    void start() {
+        note(Kind.START);
+        policy.start(clock.now());
+    }
+
+    void requestArrived(Request request) {
+        note(
+                Kind.REQUEST,
+                request.id(),
+                request.classIndex(),
+                request.tenant(),
+                request.affinityKey(),
+                request.expectedWork(),
+                request.timeLeftMicros(),
+                request.write(),
+                request.retry(),
+                request.bodyPending());
+        policy.requestArrived(clock.now(), request);
+    }
+
+    void clientDisconnected(String request) {
+        note(Kind.CLIENT_DISCONNECTED, request);
+        policy.clientDisconnected(clock.now(), request);
+    }
+
+    void responseStarted(String request, int attempt) {
+        note(Kind.RESPONSE_STARTED, request, attempt);
+        policy.responseStarted(clock.now(), request, attempt);
+    }
+
+    void transferStarted(String request, int attempt) {
+        note(Kind.TRANSFER_STARTED, request, attempt);
+        policy.transferStarted(clock.now(), request, attempt);
+    }
+
+    void peerMessageReceived(int peer) {
+        note(Kind.PEER, peer);
+        policy.peerMessageReceived(clock.now(), peer, new byte[0]);
+    }
+
+    void attemptEnded(AttemptEnd end) {
+        note(
+                Kind.OUTCOME,
+                end.request(),
+                end.attempt(),
+                end.upstream(),
+                end.outcome(),
+                end.durationMicros(),
+                end.concluded());
+        putLoad(end.load());
+        policy.attemptEnded(clock.now(), end);
+    }
+
+    void healthCheckCompleted(String upstream, Outcome outcome, LoadReport load) {
+        note(Kind.HEALTH_CHECK_COMPLETED, upstream, outcome);
+        putLoad(load);
+        policy.healthCheckCompleted(clock.now(), upstream, outcome, load);
+    }
+
+    private void putLoad(LoadReport load) {
+        journal.put(load != null);
+        if (load != null) {
+            journal.put(load.utilisation());
+            journal.put(load.active());
+            journal.put(load.waiting());
+            journal.put(load.serviceTimeMicros());
+        }
+    }
+
+    void endpointsUnavailable() {
+        note(Kind.ENDPOINTS, DISCOVERY_FAILED);
+        policy.endpointsUnavailable(clock.now());
+    }
+
+    void endpointsUpdated(ListKind kind, List<Upstream> entries) {
+        note(Kind.ENDPOINTS, kind);
+        for (Upstream entry : entries) {
+            journal.put(entry.id());
+            journal.put(entry.state());
+            journal.put(entry.rating());
+            journal.put(entry.launchedAtMicros());
+        }
+        policy.endpointsUpdated(clock.now(), kind, entries);
+    }
+
+    void cordonsUpdated(SortedMap<String, Long> cordoned) {
+        note(Kind.CORDONS, cordoned.size());
+        cordoned.forEach((id, sinceMicros) -> {
+            journal.put(id);
+            journal.put(sinceMicros);
+        });
+        policy.cordonsUpdated(clock.now(), Cordons.of(cordoned));
+    }
+
+    void planUpdated(Plan plan) {
+        for (int number = 0; number < SimulatedUpstreams.COUNT; number++) {
+            putPlanned(plan, SimulatedUpstreams.id(number));
+        }
+        note(
+                Kind.PLAN,
+                plan.lastPlannerContactMicros(),
+                plan.fadeOutTimeMicros(),
+                plan.ownQuotaBlockedUntilMicros(),
+                plan.upstreams().size(),
+                plan.slowStartQuotas().size(),
+                plan.zoneSpillover().size());
+        plan.zoneSpillover().forEach(journal::put);
+        policy.planUpdated(clock.now(), plan);
+    }
+
+    private void putPlanned(Plan plan, String id) {
+        for (UpstreamView view : plan.upstreams()) {
+            if (view.id().equals(id)) {
+                journal.put(view.limit());
+                journal.put(view.launchedAtMicros());
+                journal.put(view.draining());
+            }
+        }
+        SlowStartQuota quota = plan.slowStartQuotas().get(id);
+        if (quota != null) {
+            journal.put(quota.launchedAtMicros());
+            journal.put(quota.delegatedUntilMicros());
+            quota.grants().forEach(grant -> journal.put(grant.rate()));
+        }
+    }
+
+    /** The code stands for the token of the timer, which may be renamed. */
+    void timerFired(int code, Timer timer) {
+        note(Kind.TIMER_DUE, code);
+        policy.timerFired(clock.now(), timer);
+    }
+
+    void summary() {
+        Summary summary = policy.summary(clock.now());
+        note(Kind.SUMMARY, summary.queued());
+        summary.demand().forEach(journal::put);
+        summary.upstreams().forEach(this::putStatus);
+    }
+
+    private void putStatus(UpstreamStatus status) {
+        List<Object> values = List.of(
+                status.id(),
+                status.zone(),
+                status.state(),
+                status.launchedAtMicros(),
+                status.inFlight(),
+                status.sent(),
+                status.weight(),
+                status.limit(),
+                status.utilisation(),
+                status.waiting(),
+                status.reportedAtMicros(),
+                status.ejected(),
+                status.slowStartQuota());
+        values.forEach(journal::put);
+    }
+
+    private void note(Kind kind, Object... arguments) {
+        journal.note(kind, clock.now(), arguments);
+    }
+}
--- a/src/test/java/sedgeyoke/policy/RandomSettings.java
+++ b/src/test/java/sedgeyoke/policy/RandomSettings.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.SplittableRandom;
 import sedgeyoke.policy.LoadBalancingPolicy.Effect;
 import sedgeyoke.policy.LoadBalancingPolicy.Limits;
 import sedgeyoke.policy.LoadBalancingPolicy.PlatformRules;
@@ -30,46 +29,46 @@
     }
 
     /** The settings of one run; which group they belong to follows from the seed. */
-    static Settings draw(SplittableRandom random, int seed, int upstreams) {
+    static Settings draw(RandomDraws random, int seed, int upstreams) {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             classes.add(new RequestClass(
-                    oneOf(random, 50, 200, 600) * MILLI,
+                    random.oneOf(50, 200, 600) * MILLI,
                     random.nextInt(2),
-                    oneOf(random, 1, 2, 3) * SECOND,
+                    random.oneOf(1, 2, 3) * SECOND,
                     1 + random.nextInt(4),
                     random.nextInt(2) * 0.5,
                     Effect.values()[i % 3],
                     Scope.values()[random.nextInt(3)],
-                    oneOf(random, 100, 1_000, 5_000) * MILLI,
-                    chance(random, 0.3)));
+                    random.oneOf(100, 1_000, 5_000) * MILLI,
+                    random.chance(0.3)));
         }
         List<Tenant> tenants = new ArrayList<>();
         for (int i = random.nextInt(4); i > 0; i--) {
-            tenants.add(new Tenant(chance(random, 0.3) ? 0 : 5 + random.nextInt(100), random.nextDouble()));
+            tenants.add(new Tenant(random.chance(0.3) ? 0 : 5 + random.nextInt(100), random.nextDouble()));
         }
         int zones = 1 + random.nextInt(3);
         int group = manyBalancers(seed) ? upstreams + random.nextInt(12) : 1 + random.nextInt(3);
         Limits limits = new Limits(
                 1 + random.nextInt(4),
-                chance(random, 0.5),
-                chance(random, 0.8),
-                chance(random, 0.7),
-                chance(random, 0.5),
+                random.chance(0.5),
+                random.chance(0.8),
+                random.chance(0.7),
+                random.chance(0.5),
                 20_000,
-                chance(random, 0.5),
+                random.chance(0.5),
                 SECOND,
                 SECOND / 4,
                 10 * SECOND,
                 1);
         PlatformRules rules = new PlatformRules(
                 20 * MILLI,
-                oneOf(random, 1, 4, 10) * SECOND,
+                random.oneOf(1, 4, 10) * SECOND,
                 0.1 + 0.4 * random.nextDouble(),
-                oneOf(random, 0, 3, 20) * SECOND,
+                random.oneOf(0, 3, 20) * SECOND,
                 SECOND,
                 1 + random.nextInt(4),
-                oneOf(random, 1, 2, 4) * SECOND);
+                random.oneOf(1, 2, 4) * SECOND);
         Prices prices = new Prices(random.nextInt(2) * 0.02, 0.1, random.nextInt(2) * 0.001, 0.05, 0);
         return new Settings(
                 random.nextInt(zones),
@@ -79,22 +78,14 @@
                 classes,
                 tenants,
                 0.2,
-                chance(random, 0.5),
+                random.chance(0.5),
                 limits,
                 rules,
                 prices,
                 Reports.values()[reports(seed)],
                 Ratings.values()[random.nextInt(Ratings.values().length)],
-                chance(random, 0.6),
-                chance(random, 0.6),
+                random.chance(0.6),
+                random.chance(0.6),
                 random.nextInt(6) * MILLI);
     }
-
-    static boolean chance(SplittableRandom random, double share) {
-        return random.nextDouble() < share;
-    }
-
-    static long oneOf(SplittableRandom random, long... values) {
-        return values[random.nextInt(values.length)];
-    }
 }
--- /dev/null
+++ b/src/test/java/sedgeyoke/policy/ReplayWorld.java
@@ -0,0 +1,20 @@
+package sedgeyoke.policy;
+
+import sedgeyoke.policy.LoadBalancingPolicy.Settings;
+
+/**
+ * What the parts of a run share.
+ *
+ * @param listedCount upstreams of the first endpoint list
+ * @param workMicros the time of a mean request at an idle upstream of mean speed
+ */
+record ReplayWorld(
+        RandomDraws random,
+        ReplayClock clock,
+        ReplayJournal journal,
+        SimulatedUpstreams upstreams,
+        SentAttempts attempts,
+        JournaledPolicy policy,
+        Settings settings,
+        int listedCount,
+        long workMicros) {}
