--- a/src/test/java/sedgeyoke/policy/EndpointsTest.java
+++ b/src/test/java/sedgeyoke/policy/EndpointsTest.java
@@ -146,11 +146,11 @@
     @Test
     void invalidSettingsAreRejectedWithTheFieldsName() {
         config.zones = 0;
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> PolicyHarness.of(config));
-        assertTrue(e.getMessage().contains("zones"));
+        IllegalArgumentException invalid = assertThrows(IllegalArgumentException.class, () -> PolicyHarness.of(config));
+        assertTrue(invalid.getMessage().contains("zones"));
         config.zones = 1;
         config.group = 0;
-        e = assertThrows(IllegalArgumentException.class, () -> PolicyHarness.of(config));
-        assertTrue(e.getMessage().contains("groupSize"));
+        invalid = assertThrows(IllegalArgumentException.class, () -> PolicyHarness.of(config));
+        assertTrue(invalid.getMessage().contains("groupSize"));
     }
 }
--- a/src/test/java/sedgeyoke/policy/InvariantRecorder.java
+++ b/src/test/java/sedgeyoke/policy/InvariantRecorder.java
@@ -84,11 +84,11 @@
             violations.add("2: unsafe request retried " + id);
         }
         if (first >= 0 && recorded.requestClass.effect() == Effect.IDEMPOTENT_WITH_KEY) {
-            SentAttempt s = recorded.attempts.get(first);
+            SentAttempt earlier = recorded.attempts.get(first);
             boolean near = recorded.requestClass.scope() == Scope.ALL
-                    || recorded.requestClass.scope() == Scope.ZONE && s.upstream.zone() == upstream.zone()
-                    || recorded.requestClass.scope() == Scope.CELL && s.upstream.cell() == upstream.cell();
-            if (!near || now - s.at > recorded.requestClass.deduplicationWindowMicros()) {
+                    || recorded.requestClass.scope() == Scope.ZONE && earlier.upstream.zone() == upstream.zone()
+                    || recorded.requestClass.scope() == Scope.CELL && earlier.upstream.cell() == upstream.cell();
+            if (!near || now - earlier.at > recorded.requestClass.deduplicationWindowMicros()) {
                 violations.add("2: idempotency key used outside its scope or window " + id);
             }
         }
--- a/src/test/java/sedgeyoke/policy/InvariantsTest.java
+++ b/src/test/java/sedgeyoke/policy/InvariantsTest.java
@@ -22,6 +22,10 @@
 /** Random legal event sequences against the independent checker, and the checker against planted breaches. */
 class InvariantsTest {
     private static final long SECOND = PolicyHarness.SECOND;
+    private static final int UPSTREAMS = 6;
+    private static final int STEPS = 4_000;
+    /** The last steps let all requests end. */
+    private static final int LAST_STEP_WITH_REQUESTS = 3_400;
 
     private record PendingAttempt(String id, int attempt, String upstream, long sentAt, long endsAt, Outcome outcome) {}
 
@@ -29,40 +33,22 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void randomLegalEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        PolicyHarness.Config config = new PolicyHarness.Config();
-        config.hedging = seed % 2 == 0;
-        config.scope = Scope.values()[(int) (seed % 3)];
-        config.keyAffinity = seed % 3 == 0;
-        config.cancel = seed % 4 != 0;
-        PolicyHarness host = PolicyHarness.of(config);
-        host.checker = new InvariantRecorder(config.settings(), 1.0);
-        List<Upstream> all = new ArrayList<>();
-        for (int i = 0; i < 6; i++) {
-            all.add(PolicyHarness.upstream(i, State.READY, 0));
-        }
-        host.checker.endpointsUpdated(host.now, ListKind.RESTORED, all);
-        host.balancer.endpointsUpdated(host.now, ListKind.RESTORED, all);
+        PolicyHarness host = listed(config(seed));
         List<PendingAttempt> pending = new ArrayList<>();
         int served = 0;
-        for (int step = 0; step < 4_000; step++) {
+        for (int step = 0; step < STEPS; step++) {
             host.advance(5_000);
             collectAttempts(host, random, pending);
             served += deliverOutcomes(host, pending);
-            if (step < 3_400 && random.nextInt(3) > 0) {
-                host.request(
-                        random.nextInt(3),
-                        200_000 + random.nextLong(1_800_000),
-                        "k" + random.nextInt(9),
-                        5_000 + random.nextLong(40_000));
+            if (step < LAST_STEP_WITH_REQUESTS && random.nextInt(3) > 0) {
+                sendRequest(host, random);
                 collectAttempts(host, random, pending);
             }
             if (random.nextInt(150) == 0) {
                 changeEndpoints(host, random);
             }
             if (random.nextInt(200) == 0 && !pending.isEmpty()) {
-                String id = pending.get(random.nextInt(pending.size())).id;
-                host.checker.clientDisconnected(id);
-                host.balancer.clientDisconnected(host.now, id);
+                disconnectClient(host, pending.get(random.nextInt(pending.size())).id);
             }
             collectAttempts(host, random, pending);
         }
@@ -71,6 +57,38 @@
         assertTrue(served > 200, "served " + served);
     }
 
+    private static PolicyHarness.Config config(long seed) {
+        PolicyHarness.Config config = new PolicyHarness.Config();
+        config.hedging = seed % 2 == 0;
+        config.scope = Scope.values()[(int) (seed % 3)];
+        config.keyAffinity = seed % 3 == 0;
+        config.cancel = seed % 4 != 0;
+        return config;
+    }
+
+    private static PolicyHarness listed(PolicyHarness.Config config) {
+        PolicyHarness host = PolicyHarness.of(config);
+        host.checker = new InvariantRecorder(config.settings(), 1.0);
+        List<Upstream> all = new ArrayList<>();
+        for (int number = 0; number < UPSTREAMS; number++) {
+            all.add(PolicyHarness.upstream(number, State.READY, 0));
+        }
+        updateEndpoints(host, ListKind.RESTORED, all);
+        return host;
+    }
+
+    private static void sendRequest(PolicyHarness host, SplittableRandom random) {
+        int classIndex = random.nextInt(3);
+        long timeLeftMicros = 200_000 + random.nextLong(1_800_000);
+        String key = "k" + random.nextInt(9);
+        host.request(classIndex, timeLeftMicros, key, 5_000 + random.nextLong(40_000));
+    }
+
+    private static void disconnectClient(PolicyHarness host, String id) {
+        host.checker.clientDisconnected(id);
+        host.balancer.clientDisconnected(host.now, id);
+    }
+
     private static void collectAttempts(PolicyHarness host, SplittableRandom random, List<PendingAttempt> pending) {
         for (String line : host.actions) {
             String[] words = line.split(" ", -1);
@@ -123,12 +141,17 @@
     }
 
     private static void changeEndpoints(PolicyHarness host, SplittableRandom random) {
-        int i = random.nextInt(6);
+        int number = random.nextInt(UPSTREAMS);
         int what = random.nextInt(4);
         State state = what == 0 ? State.DRAINING : what == 1 ? State.REMOVED : State.READY;
-        Upstream u = PolicyHarness.upstream(i, state, state == State.READY ? host.now - random.nextLong(SECOND) : 0);
-        host.checker.endpointsUpdated(host.now, ListKind.CHANGES, List.of(u));
-        host.balancer.endpointsUpdated(host.now, ListKind.CHANGES, List.of(u));
+        long launchedAtMicros = state == State.READY ? host.now - random.nextLong(SECOND) : 0;
+        Upstream changed = PolicyHarness.upstream(number, state, launchedAtMicros);
+        updateEndpoints(host, ListKind.CHANGES, List.of(changed));
+    }
+
+    private static void updateEndpoints(PolicyHarness host, ListKind kind, List<Upstream> entries) {
+        host.checker.endpointsUpdated(host.now, kind, entries);
+        host.balancer.endpointsUpdated(host.now, kind, entries);
     }
 
     private InvariantRecorder checker() {
--- a/src/test/java/sedgeyoke/policy/PlanTest.java
+++ b/src/test/java/sedgeyoke/policy/PlanTest.java
@@ -38,7 +38,7 @@
         return new UpstreamView(id, limit, 0, draining);
     }
 
-    private record Out(String id, int attempt, String upstream, long endsAt) {}
+    private record SentAttempt(String id, int attempt, String upstream, long endsAt) {}
 
     /** Some seconds of seeded events with a launch at step 600; {@code plans} is called before each step. */
     private static PolicyHarness play(long seed, BiConsumer<PolicyHarness, Integer> plans) {
@@ -47,8 +47,8 @@
         config.keyAffinity = true;
         config.crossZone = 0.005;
         PolicyHarness host = PolicyHarness.of(config).list(6);
-        List<Out> out = new ArrayList<>();
-        int seen = 0;
+        List<SentAttempt> outstanding = new ArrayList<>();
+        int seenActions = 0;
         for (int step = 0; step < 1_500; step++) {
             plans.accept(host, step);
             host.advance(5_000);
@@ -56,33 +56,44 @@
                 host.change(PolicyHarness.upstream(2, State.READY, host.now));
             }
             host.request(random.nextInt(3), 2 * SECOND, "k" + random.nextInt(30), 0);
-            for (; seen < host.actions.size(); seen++) {
-                String[] done = host.actions.get(seen).split(" ", -1);
-                if (done[1].equals("send")) {
-                    out.add(new Out(
-                            done[2],
-                            host.sends.get(done[2]).indexOf(done[3]),
-                            done[3],
-                            host.now + random.nextInt(120_000)));
-                }
+            outstanding.addAll(sentSince(host, seenActions, random));
+            seenActions = host.actions.size();
+            endDueAttempts(host, outstanding, random);
+        }
+        return host;
+    }
+
+    /** The attempts that were sent since so many actions; each is to end within 120 ms. */
+    private static List<SentAttempt> sentSince(PolicyHarness host, int seenActions, SplittableRandom random) {
+        List<SentAttempt> sent = new ArrayList<>();
+        for (String action : host.actions.subList(seenActions, host.actions.size())) {
+            String[] words = action.split(" ", -1);
+            if (words[1].equals("send")) {
+                String id = words[2];
+                String upstream = words[3];
+                int attempt = host.sends.get(id).indexOf(upstream);
+                sent.add(new SentAttempt(id, attempt, upstream, host.now + random.nextInt(120_000)));
             }
-            for (Out o : List.copyOf(out)) {
-                if (o.endsAt() <= host.now) {
-                    out.remove(o);
-                    host.balancer.attemptEnded(
-                            host.now,
-                            new AttemptEnd(
-                                    o.id(),
-                                    o.attempt(),
-                                    o.upstream(),
-                                    Outcome.OK,
-                                    20_000,
-                                    true,
-                                    PolicyHarness.report(random.nextDouble())));
-                }
+        }
+        return sent;
+    }
+
+    private static void endDueAttempts(PolicyHarness host, List<SentAttempt> outstanding, SplittableRandom random) {
+        for (SentAttempt attempt : List.copyOf(outstanding)) {
+            if (attempt.endsAt() <= host.now) {
+                outstanding.remove(attempt);
+                host.balancer.attemptEnded(
+                        host.now,
+                        new AttemptEnd(
+                                attempt.id(),
+                                attempt.attempt(),
+                                attempt.upstream(),
+                                Outcome.OK,
+                                20_000,
+                                true,
+                                PolicyHarness.report(random.nextDouble())));
             }
         }
-        return host;
     }
 
     private static List<String> sendsTo(PolicyHarness host, String upstream) {
--- a/src/test/java/sedgeyoke/policy/PolicyHarness.java
+++ b/src/test/java/sedgeyoke/policy/PolicyHarness.java
@@ -102,17 +102,17 @@
         return host;
     }
 
-    static Upstream upstream(int i, State state, long launchedAtMicros) {
-        return new Upstream("u" + i, i % 3, 0, i % 2, state, 1, launchedAtMicros);
+    static Upstream upstream(int number, State state, long launchedAtMicros) {
+        return new Upstream("u" + number, number % 3, 0, number % 2, state, 1, launchedAtMicros);
     }
 
     Settings settings() {
         return settings;
     }
 
-    PolicyHarness list(int n) {
+    PolicyHarness list(int count) {
         List<Upstream> all = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             all.add(upstream(i, State.READY, 0));
         }
         balancer.endpointsUpdated(now, ListKind.RESTORED, all);
@@ -139,8 +139,8 @@
     }
 
     String lastUpstream(String id) {
-        List<String> s = sends.getOrDefault(id, List.of());
-        return s.isEmpty() ? null : s.get(s.size() - 1);
+        List<String> sent = sends.getOrDefault(id, List.of());
+        return sent.isEmpty() ? null : sent.get(sent.size() - 1);
     }
 
     /** Attempts sent to an upstream so far. */
--- a/src/test/java/sedgeyoke/policy/RandomSettings.java
+++ b/src/test/java/sedgeyoke/policy/RandomSettings.java
@@ -30,6 +30,34 @@
 
     /** The settings of one run; which group they belong to follows from the seed. */
     static Settings draw(RandomDraws random, int seed, int upstreams) {
+        // Each line draws: their order is part of the run.
+        List<RequestClass> classes = drawClasses(random);
+        List<Tenant> tenants = drawTenants(random);
+        int zones = 1 + random.nextInt(3);
+        int group = manyBalancers(seed) ? upstreams + random.nextInt(12) : 1 + random.nextInt(3);
+        Limits limits = drawLimits(random);
+        PlatformRules rules = drawRules(random);
+        Prices prices = new Prices(random.nextInt(2) * 0.02, 0.1, random.nextInt(2) * 0.001, 0.05, 0);
+        return new Settings(
+                random.nextInt(zones),
+                zones,
+                random.nextInt(20),
+                group,
+                classes,
+                tenants,
+                0.2,
+                random.chance(0.5),
+                limits,
+                rules,
+                prices,
+                Reports.values()[reports(seed)],
+                Ratings.values()[random.nextInt(Ratings.values().length)],
+                random.chance(0.6),
+                random.chance(0.6),
+                random.nextInt(6) * MILLI);
+    }
+
+    private static List<RequestClass> drawClasses(RandomDraws random) {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             classes.add(new RequestClass(
@@ -43,13 +71,19 @@
                     random.oneOf(100, 1_000, 5_000) * MILLI,
                     random.chance(0.3)));
         }
+        return classes;
+    }
+
+    private static List<Tenant> drawTenants(RandomDraws random) {
         List<Tenant> tenants = new ArrayList<>();
-        for (int i = random.nextInt(4); i > 0; i--) {
+        for (int left = random.nextInt(4); left > 0; left--) {
             tenants.add(new Tenant(random.chance(0.3) ? 0 : 5 + random.nextInt(100), random.nextDouble()));
         }
-        int zones = 1 + random.nextInt(3);
-        int group = manyBalancers(seed) ? upstreams + random.nextInt(12) : 1 + random.nextInt(3);
-        Limits limits = new Limits(
+        return tenants;
+    }
+
+    private static Limits drawLimits(RandomDraws random) {
+        return new Limits(
                 1 + random.nextInt(4),
                 random.chance(0.5),
                 random.chance(0.8),
@@ -61,7 +95,10 @@
                 SECOND / 4,
                 10 * SECOND,
                 1);
-        PlatformRules rules = new PlatformRules(
+    }
+
+    private static PlatformRules drawRules(RandomDraws random) {
+        return new PlatformRules(
                 20 * MILLI,
                 random.oneOf(1, 4, 10) * SECOND,
                 0.1 + 0.4 * random.nextDouble(),
@@ -69,23 +106,5 @@
                 SECOND,
                 1 + random.nextInt(4),
                 random.oneOf(1, 2, 4) * SECOND);
-        Prices prices = new Prices(random.nextInt(2) * 0.02, 0.1, random.nextInt(2) * 0.001, 0.05, 0);
-        return new Settings(
-                random.nextInt(zones),
-                zones,
-                random.nextInt(20),
-                group,
-                classes,
-                tenants,
-                0.2,
-                random.chance(0.5),
-                limits,
-                rules,
-                prices,
-                Reports.values()[reports(seed)],
-                Ratings.values()[random.nextInt(Ratings.values().length)],
-                random.chance(0.6),
-                random.chance(0.6),
-                random.nextInt(6) * MILLI);
     }
 }
--- a/src/test/java/sedgeyoke/simulation/SimulationTest.java
+++ b/src/test/java/sedgeyoke/simulation/SimulationTest.java
@@ -66,16 +66,17 @@
 
     @Test
     void theSameSeedReproducesTheSameRun() {
-        Outcome a = new Simulation(faulty(), 5).run();
-        Outcome b = new Simulation(faulty(), 5).run();
-        Outcome c = new Simulation(faulty(), 6).run();
-        assertEquals(text(a), text(b));
-        assertNotEquals(text(a), text(c));
+        Outcome first = new Simulation(faulty(), 5).run();
+        Outcome sameSeed = new Simulation(faulty(), 5).run();
+        Outcome otherSeed = new Simulation(faulty(), 6).run();
+        assertEquals(text(first), text(sameSeed));
+        assertNotEquals(text(first), text(otherSeed));
     }
 
-    private static String text(Outcome o) {
-        return o.service() + " " + o.events() + " " + o.attempts() + " " + o.answers() + " " + o.seconds()
-                + o.upstreamUtilisation() + o.latency().getMean() + o.warmUps() + o.coldPeak() + o.violations();
+    private static String text(Outcome outcome) {
+        return outcome.service() + " " + outcome.events() + " " + outcome.attempts() + " " + outcome.answers() + " "
+                + outcome.seconds() + outcome.upstreamUtilisation()
+                + outcome.latency().getMean() + outcome.warmUps() + outcome.coldPeak() + outcome.violations();
     }
 
     /** All policies get the same operations, so that differences are due to the policies. */
@@ -83,9 +84,9 @@
     void arrivalsDoNotDependOnThePolicy() {
         List<Long> first = null;
         for (String policy : BaselinePolicies.names()) {
-            Outcome o = new Simulation(small(0.5).withPolicy(policy), 3).run();
+            Outcome outcome = new Simulation(small(0.5).withPolicy(policy), 3).run();
             List<Long> wanted =
-                    o.seconds().stream().map(Outcome.Second::operations).toList();
+                    outcome.seconds().stream().map(Outcome.Second::operations).toList();
             first = first == null ? wanted : first;
             assertEquals(first, wanted, policy);
         }
@@ -111,11 +112,12 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void theRulesHoldUnderFaults(long seed) {
-        for (Scenario s : List.of(faulty(), faulty().withPlanners(PlannerSpec.defaults(0)))) {
-            Outcome o = new Simulation(s, seed).run();
-            assertEquals(Map.of(), o.violations(), o.violationMessages().toString());
-            assertTrue(o.coldPeak() <= 1);
-            assertTrue(o.service() > 0.6, "service " + o.service());
+        for (Scenario scenario : List.of(faulty(), faulty().withPlanners(PlannerSpec.defaults(0)))) {
+            Outcome outcome = new Simulation(scenario, seed).run();
+            assertEquals(
+                    Map.of(), outcome.violations(), outcome.violationMessages().toString());
+            assertTrue(outcome.coldPeak() <= 1);
+            assertTrue(outcome.service() > 0.6, "service " + outcome.service());
         }
     }
 
@@ -159,45 +161,50 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void theRulesHoldWithFewConnectionsAndRestartsOfForwarders(long seed) {
-        Scenario s = Scenarios.orders(12, 6, 0.5, 14, 2.6, 16);
-        Scenario.Network n = s.network();
-        Scenario.Network scarce = new Scenario.Network(
-                n.inZoneUs(),
-                n.crossZoneUs(),
-                n.jitter(),
-                n.stall(),
-                n.stallUs(),
-                n.minDiscoveryMs(),
-                n.maxDiscoveryMs(),
-                n.failureDetectionMs(),
-                n.clockSkewMs(),
-                n.clockDriftPpm(),
-                10,
-                10_000);
-        Simulation run = new Simulation(
-                new Scenario(
-                        s.site(),
-                        s.seconds(),
-                        s.warmUpSeconds(),
-                        s.forwarders(),
-                        s.policy(),
-                        s.planners(),
-                        s.traffic(),
-                        scarce,
-                        List.of(
-                                fault(2, Kind.RESTART_FORWARDER, 6, 1, 0, 0),
-                                fault(3, Kind.LOSE_ANSWERS, 1, 0, 4, 0.02),
-                                fault(3, Kind.RESET_CONNECTIONS, 1, 0, 4, 0.02),
-                                fault(5, Kind.LOSE_ZONE, 1, 0, 2, 0),
-                                fault(9, Kind.CUT_ZONE, 1, 0, 2, 0),
-                                fault(4, Kind.KILL_FORWARDER, 2, 0, 1, 0))),
-                seed);
-        Outcome o = run.run();
-        assertEquals(Map.of(), o.violations(), o.violationMessages().toString());
+        Simulation run = new Simulation(withFewConnections(), seed);
+        Outcome outcome = run.run();
+        assertEquals(Map.of(), outcome.violations(), outcome.violationMessages().toString());
         assertEquals(0, run.openAtClients());
         assertTrue(run.minConnections() >= 0, "closed a connection twice");
         assertTrue(run.maxConnections() <= 10, "connections of one upstream: " + run.maxConnections());
-        assertTrue(o.handshakesPerRequest() > 0 && o.crossingsPerRequest() > 0);
+        assertTrue(outcome.handshakesPerRequest() > 0 && outcome.crossingsPerRequest() > 0);
+    }
+
+    private static Scenario withFewConnections() {
+        Scenario scenario = Scenarios.orders(12, 6, 0.5, 14, 2.6, 16);
+        return new Scenario(
+                scenario.site(),
+                scenario.seconds(),
+                scenario.warmUpSeconds(),
+                scenario.forwarders(),
+                scenario.policy(),
+                scenario.planners(),
+                scenario.traffic(),
+                fewConnections(scenario.network()),
+                List.of(
+                        fault(2, Kind.RESTART_FORWARDER, 6, 1, 0, 0),
+                        fault(3, Kind.LOSE_ANSWERS, 1, 0, 4, 0.02),
+                        fault(3, Kind.RESET_CONNECTIONS, 1, 0, 4, 0.02),
+                        fault(5, Kind.LOSE_ZONE, 1, 0, 2, 0),
+                        fault(9, Kind.CUT_ZONE, 1, 0, 2, 0),
+                        fault(4, Kind.KILL_FORWARDER, 2, 0, 1, 0)));
+    }
+
+    /** The network with 10 connections to each upstream. */
+    private static Scenario.Network fewConnections(Scenario.Network network) {
+        return new Scenario.Network(
+                network.inZoneUs(),
+                network.crossZoneUs(),
+                network.jitter(),
+                network.stall(),
+                network.stallUs(),
+                network.minDiscoveryMs(),
+                network.maxDiscoveryMs(),
+                network.failureDetectionMs(),
+                network.clockSkewMs(),
+                network.clockDriftPpm(),
+                10,
+                10_000);
     }
 
     @ParameterizedTest
