--- a/src/test/java/sedgeyoke/proxy/AdminServerTest.java
+++ b/src/test/java/sedgeyoke/proxy/AdminServerTest.java
@@ -103,24 +103,24 @@
 
     @Test
     void aCordonedUpstreamGetsNoRequestsUntilItIsUncordoned() throws Exception {
-        try (ScriptedServer a = good();
-                ScriptedServer b = good();
-                Loopback lb = start(a, b)) {
+        try (ScriptedServer first = good();
+                ScriptedServer second = good();
+                Loopback lb = start(first, second)) {
             Loopback.await("both in use", () -> {
                 askOnce(lb);
-                return !a.requests.isEmpty() && !b.requests.isEmpty();
+                return !first.requests.isEmpty() && !second.requests.isEmpty();
             });
             assertEquals(200, lb.call("POST", "/admin/cordon", "u0").status());
             assertEquals(200, lb.call("POST", "/admin/cordon", "u0").status());
-            int before = a.requests.size();
+            int before = first.requests.size();
             for (int i = 0; i < 50; i++) {
                 askOnce(lb);
             }
-            assertEquals(before, a.requests.size());
+            assertEquals(before, first.requests.size());
             assertEquals(200, lb.call("POST", "/admin/uncordon", "u0").status());
             Loopback.await("in use again", () -> {
                 askOnce(lb);
-                return a.requests.size() > before;
+                return first.requests.size() > before;
             });
         }
     }
@@ -139,17 +139,17 @@
     /** Two processes of one balancer: a cordon set at one applies to the other, and to the next process. */
     @Test
     void aCordonAppliesToTheOtherProcessesToo() throws Exception {
-        try (ScriptedServer a = good();
-                ScriptedServer b = good();
-                Loopback old = start(a, b)) {
+        try (ScriptedServer first = good();
+                ScriptedServer second = good();
+                Loopback old = start(first, second)) {
             assertEquals(200, old.call("POST", "/admin/cordon", "u0").status());
-            try (Loopback next = start(a, b)) {
+            try (Loopback next = start(first, second)) {
                 assertEquals(1, next.metric("upstreams_excluded"));
-                int before = a.requests.size();
+                int before = first.requests.size();
                 for (int i = 0; i < 30; i++) {
                     askOnce(next);
                 }
-                assertEquals(before, a.requests.size());
+                assertEquals(before, first.requests.size());
                 assertEquals(200, next.call("POST", "/admin/uncordon", "u0").status());
                 Loopback.await("the old process applies it", () -> old.metric("upstreams_excluded") == 0);
                 assertEquals(200, old.call("POST", "/admin/cordon", "u1").status());
--- a/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
+++ b/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
@@ -292,15 +292,15 @@
     private static void body(Socket socket, byte[] body, boolean chunked, int[] splits, int cutAt) throws IOException {
         int until = Math.min(body.length, cutAt);
         for (int at = 0, i = 0; at < until; i++) {
-            int n = Math.min(until - at, 1 + Math.floorMod(splits[i % splits.length], 50_000));
+            int length = Math.min(until - at, 1 + Math.floorMod(splits[i % splits.length], 50_000));
             if (chunked) {
-                ScriptedServer.write(socket, Integer.toHexString(n) + "\r\n");
+                ScriptedServer.write(socket, Integer.toHexString(length) + "\r\n");
             }
-            socket.getOutputStream().write(body, at, n);
+            socket.getOutputStream().write(body, at, length);
             if (chunked) {
                 ScriptedServer.write(socket, "\r\n");
             }
-            at += n;
+            at += length;
         }
         if (chunked && cutAt == Integer.MAX_VALUE) {
             ScriptedServer.write(socket, "0\r\n\r\n");
