--- a/src/test/java/sedgeyoke/proxy/ScriptedServer.java
+++ b/src/test/java/sedgeyoke/proxy/ScriptedServer.java
@@ -5,9 +5,6 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
-import java.io.UncheckedIOException;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -19,15 +16,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A server on loopback that does to each request what a test says: an upstream, or discovery. */
-final class ScriptedServer implements AutoCloseable {
-    /** More connections than any test opens at once: none is to be turned away as nobody has had the time. */
-    private static final int BACKLOG = 1024;
-
-    private final ServerSocket listener;
+final class ScriptedServer extends LoopbackServer {
     private final Script script;
     private final CountDownLatch go;
     final List<Message> requests = new CopyOnWriteArrayList<>();
-    final List<Socket> sockets = new CopyOnWriteArrayList<>();
     /** Connections that the other side has closed. */
     final AtomicInteger left = new AtomicInteger();
 
@@ -54,9 +46,8 @@
     /** A server that reads nothing before {@code go}, with a small buffer in the kernel. */
     ScriptedServer(Script script, CountDownLatch go) throws IOException {
         this.go = go;
-        this.listener = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
         this.script = script;
-        thread(this::accept);
+        start();
     }
 
     /** A server that answers every request with 200, this body and such further headers. */
@@ -64,29 +55,8 @@
         return new ScriptedServer((request, socket) -> reply(socket, 200, body, headers));
     }
 
-    String address() {
-        return "127.0.0.1:" + listener.getLocalPort();
-    }
-
-    private static void thread(Runnable work) {
-        Thread thread = new Thread(work);
-        thread.setDaemon(true);
-        thread.start();
-    }
-
-    private void accept() {
-        try {
-            while (true) {
-                Socket socket = listener.accept();
-                sockets.add(socket);
-                thread(() -> serve(socket));
-            }
-        } catch (IOException closed) {
-            return; // the test is over
-        }
-    }
-
-    private void serve(Socket socket) {
+    @Override
+    void serve(Socket socket) {
         try (socket) {
             go.await();
             InputStream in = new BufferedInputStream(socket.getInputStream());
@@ -101,8 +71,7 @@
     }
 
     static void reply(Socket socket, int status, String body, String... headers) throws IOException {
-        String more = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
-        write(socket, "HTTP/1.1 " + status + " x\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+        write(socket, response(status, body, headers));
     }
 
     static void write(Socket socket, String text) throws IOException {
@@ -162,16 +131,4 @@
         }
         return line.toString(StandardCharsets.ISO_8859_1).trim();
     }
-
-    @Override
-    public void close() {
-        try {
-            listener.close();
-            for (Socket socket : sockets) {
-                socket.close();
-            }
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-    }
 }
