--- a/src/test/java/sedgeyoke/drill/ConsensusProcessesTest.java
+++ b/src/test/java/sedgeyoke/drill/ConsensusProcessesTest.java
@@ -31,6 +31,7 @@
 import sedgeyoke.consensus.server.ConfigClient;
 import sedgeyoke.consensus.server.ConfigResponse;
 import sedgeyoke.consensus.server.ServerStatus;
+import sedgeyoke.testing.Await;
 
 /** Config servers and balancers as processes, and the failure of some of them. */
 class ConsensusProcessesTest {
@@ -114,11 +115,7 @@
     }
 
     private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long deadline = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000;
-        while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadline, "not in time: " + what);
-            Thread.sleep(20);
-        }
+        Await.until(what, TIMEOUT_MILLIS, condition);
     }
 
     private static void deleteAll(Path folder) throws IOException {
--- a/src/test/java/sedgeyoke/proxy/AttemptRacesTest.java
+++ b/src/test/java/sedgeyoke/proxy/AttemptRacesTest.java
@@ -8,7 +8,6 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.Test;
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
 
@@ -50,7 +49,7 @@
     private static boolean closesWhileTheLoopStands(ScriptedServer peer) {
         long until = System.nanoTime() + 500 * MS;
         while (peer.left.get() == 0 && System.nanoTime() < until) {
-            LockSupport.parkNanos(MS);
+            pauseUntil(System.nanoTime() + MS);
         }
         return peer.left.get() == 1;
     }
--- a/src/test/java/sedgeyoke/proxy/BalancerProcess.java
+++ b/src/test/java/sedgeyoke/proxy/BalancerProcess.java
@@ -11,6 +11,9 @@
 
 /** The balancer as a process of its own, started as the platform starts it, with its output in a file. */
 final class BalancerProcess implements AutoCloseable {
+    /** A connection is refused at once, and nothing announces when the next one is not: it is tried again and again. */
+    private static final long CONNECT_RETRY_MILLIS = 1;
+
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
     private final Process process;
@@ -76,7 +79,7 @@
                 socket.setSoTimeout(READ_TIMEOUT_MILLIS);
                 return socket;
             } catch (IOException notYet) {
-                Thread.sleep(1);
+                Thread.sleep(CONNECT_RETRY_MILLIS);
             }
         }
         return fail("does not listen: " + output());
--- a/src/test/java/sedgeyoke/proxy/BodyForwardingTest.java
+++ b/src/test/java/sedgeyoke/proxy/BodyForwardingTest.java
@@ -85,11 +85,8 @@
             ScriptedServer.write(client, Loopback.request("a", "order", 5_000));
             InputStream in = new BufferedInputStream(client.getInputStream());
             assertTrue(in.read() == 'H');
-            long before = -1;
-            while (written.get() != before) { // until it stops growing
-                before = written.get();
-                Thread.sleep(100);
-            }
+            Loopback.awaitStill(0, written::get);
+            long before = written.get();
             assertTrue(before < 20_000_000, "not all of it can be anywhere: " + before);
             String all = new String(in.readNBytes(100), StandardCharsets.ISO_8859_1);
             assertTrue(all.contains("hunked"), all);
--- a/src/test/java/sedgeyoke/proxy/DrainGraceTest.java
+++ b/src/test/java/sedgeyoke/proxy/DrainGraceTest.java
@@ -40,6 +40,8 @@
  */
 class DrainGraceTest {
     private static final long MILLI = 1_000_000;
+    /** Between two requests of a client, so that the clients load the balancer steadily and leave it time. */
+    private static final long PACE_MILLIS = 2;
     /** The grace of these settings, and what PROTOCOL adds to each limit. */
     private static final long GRACE_MILLIS = 1_050;
 
@@ -98,7 +100,7 @@
                         String id = "c" + client + "-" + number++;
                         answer = Loopback.ask(socket, Loopback.request(id, "read", 2_000));
                         answered.incrementAndGet();
-                        Thread.sleep(2); // a pace, not a wait for anything
+                        Thread.sleep(PACE_MILLIS);
                     } while (answer != null && !stopped.get());
                 } catch (IOException broken) {
                     continue;
--- a/src/test/java/sedgeyoke/proxy/HandOverTest.java
+++ b/src/test/java/sedgeyoke/proxy/HandOverTest.java
@@ -33,10 +33,10 @@
 
     private static ScriptedServer discovery(ScriptedServer upstream) throws Exception {
         return new ScriptedServer((request, socket) -> {
-            if (request.line().contains("from=")) {
-                Thread.sleep(10_000);
+            if (!request.line().contains("from=")) { // else nothing new: the watch waits until it is closed
+                ScriptedServer.reply(
+                        socket, 200, Loopback.list(1, true, Loopback.member("u", upstream.address(), "up")));
             }
-            ScriptedServer.reply(socket, 200, Loopback.list(1, true, Loopback.member("u", upstream.address(), "up")));
         });
     }
 
@@ -93,7 +93,7 @@
         try (ServerSocketChannel listener = listener();
                 ScriptedServer upstream =
                         new ScriptedServer((request, socket) -> ScriptedServer.reply(socket, 200, "x"));
-                ScriptedServer silent = new ScriptedServer((request, socket) -> Thread.sleep(10_000));
+                ScriptedServer silent = new ScriptedServer((request, socket) -> {}); // no answers
                 Loopback old = start(listener, upstream, discovery(upstream))) {
             Loopback.await("ready", () -> old.health() == 200);
             try (Loopback next = Loopback.setup()
--- a/src/test/java/sedgeyoke/proxy/Loopback.java
+++ b/src/test/java/sedgeyoke/proxy/Loopback.java
@@ -1,7 +1,5 @@
 package sedgeyoke.proxy;
 
-import static org.junit.jupiter.api.Assertions.fail;
-
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -28,6 +26,7 @@
 import sedgeyoke.proxy.config.BalancerConfig;
 import sedgeyoke.proxy.core.ProxyCore;
 import sedgeyoke.proxy.lifecycle.BalancerServer;
+import sedgeyoke.testing.Await;
 
 /** A balancer on loopback with its discovery and the clients of a test. */
 final class Loopback implements AutoCloseable {
@@ -143,10 +142,9 @@
         discovery = setup.discovery != null
                 ? setup.discovery
                 : new ScriptedServer((request, socket) -> {
-                    if (request.line().contains("from=")) {
-                        Thread.sleep(PATIENCE_MS); // nothing new; the end of the test ends the watch
+                    if (!request.line().contains("from=")) { // else nothing new: the watch waits until it is closed
+                        ScriptedServer.reply(socket, 200, known);
                     }
-                    ScriptedServer.reply(socket, 200, known);
                 });
         BalancerConfig config = config(setup.settings, discovery.address(), setup.sockets, known)
                 .with(
@@ -260,13 +258,7 @@
 
     /** Waits for a condition rather than for some time; generous, as a busy machine may be slow. */
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + PATIENCE_MS * 1_000_000;
-        while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                fail("not within " + PATIENCE_MS + " ms: " + what);
-            }
-            Thread.sleep(2);
-        }
+        Await.until(what, PATIENCE_MS, condition);
     }
 
     @Override
--- a/src/test/java/sedgeyoke/proxy/ProxyCoreTest.java
+++ b/src/test/java/sedgeyoke/proxy/ProxyCoreTest.java
@@ -18,6 +18,11 @@
 
 /** How decisions of the policy are carried out, in particular invalid ones. */
 class ProxyCoreTest {
+    /** How late a request is read: its lateness is what is tested. */
+    private static final long READ_DELAY_MILLIS = 200;
+    /** How late the loop reads a response: far more than the latency of an upstream on loopback. */
+    private static final long LOOP_DELAY_MILLIS = 1_500;
+
     private ScriptedPolicy policy;
 
     private Loopback.Setup scripted(BiConsumer<ScriptedPolicy, Request> onRequest) {
@@ -98,7 +103,7 @@
             });
             blocked.await();
             ScriptedServer.write(client, Loopback.request("id-2", "order", 60_000));
-            Thread.sleep(200); // the lateness itself
+            Thread.sleep(READ_DELAY_MILLIS);
             release.countDown();
             assertEquals(503, Loopback.answer(client).status());
             assertTrue(left.get() < 60_000_000 - 150_000, "left " + left.get());
@@ -113,7 +118,7 @@
         try (ScriptedServer upstream = new ScriptedServer((request, socket) -> {
                     blocked.await();
                     ScriptedServer.reply(socket, 200, "x");
-                    Thread.sleep(1_500); // the lateness itself
+                    Thread.sleep(LOOP_DELAY_MILLIS);
                     release.countDown();
                 });
                 Loopback lb = scripted((m, r) -> m.actions.send(r.id(), "u", 0))
--- a/src/test/java/sedgeyoke/proxy/RaceConditionsTestBase.java
+++ b/src/test/java/sedgeyoke/proxy/RaceConditionsTestBase.java
@@ -20,7 +20,10 @@
                 .start();
     }
 
-    /** Occupies the calling thread, which is the event loop or one of a peer, until that {@link System#nanoTime}. */
+    /**
+     * Occupies the calling thread, which is the event loop or one of a peer, until that {@link System#nanoTime}. This
+     * is no wait for an event: that the thread is late by this time is what is tested.
+     */
     static void pauseUntil(long nanos) {
         while (System.nanoTime() < nanos) {
             LockSupport.parkNanos(MS);
--- a/src/test/java/sedgeyoke/proxy/ResponseEndsTest.java
+++ b/src/test/java/sedgeyoke/proxy/ResponseEndsTest.java
@@ -19,6 +19,9 @@
 
 /** All the ways in which a long response ends: with its length, with its connection, or too early. */
 class ResponseEndsTest {
+    /** An upstream that announces the end of its connection closes it when it likes; no request may come meanwhile. */
+    private static final long CLOSE_DELAY_MILLIS = 200;
+
     @Test
     void aTruncatedResponseIsVisiblyIncomplete() throws Exception {
         try (ScriptedServer upstream = new ScriptedServer((request, socket) -> {
@@ -100,7 +103,7 @@
                             socket,
                             "HTTP/1.1 200 x\r\nConnection: close\r\nContent-Length: " + answer.length + "\r\n\r\n");
                     socket.getOutputStream().write(answer);
-                    Thread.sleep(200); // it closes when it likes
+                    Thread.sleep(CLOSE_DELAY_MILLIS);
                     socket.close();
                 });
                 Loopback lb = serving(upstream)) {
--- a/src/test/java/sedgeyoke/proxy/SystemFaultsTest.java
+++ b/src/test/java/sedgeyoke/proxy/SystemFaultsTest.java
@@ -30,6 +30,8 @@
     private static final long MILLI = 1_000_000;
     private static final int UPSTREAMS = 6;
     private static final int CLIENTS = 16;
+    /** How long an upstream works on a request, so that several requests are in flight when a call begins to fail. */
+    private static final long UPSTREAM_WORK_MILLIS = 5;
 
     @TempDir
     private Path folder;
@@ -132,14 +134,10 @@
         assertServesRightAfter(Field.SOCKET_ERROR, Errno.ENFILE, Errno.ENOBUFS);
     }
 
-    private static void pauseMillis(long millis) throws InterruptedException {
-        Thread.sleep(millis); // the work of an upstream
-    }
-
     /** While a call fails, requests are rejected; right after that they are served. */
     private void assertServesRightAfter(Field call, Errno... errors) throws Exception {
         try (BalancerProcess balancer = start((request, socket) -> {
-            pauseMillis(5);
+            Thread.sleep(UPSTREAM_WORK_MILLIS);
             String id = request.headers().get("x-call-id");
             if (id.hashCode() % 3 == 0) {
                 ScriptedServer.reply(socket, 200, id, "Connection: close");
@@ -183,6 +181,20 @@
         }
     }
 
+    /** A thread that ends the error after this time, which the balancer spends with connections it cannot accept. */
+    private Thread startEndOfAcceptError(long faultMillis) {
+        Thread end = new Thread(() -> {
+            try {
+                Thread.sleep(faultMillis);
+                shim.set(Field.ACCEPT_ERROR, 0);
+            } catch (IOException | InterruptedException e) {
+                throw new IllegalStateException(e);
+            }
+        });
+        end.start();
+        return end;
+    }
+
     /**
      * A request that waited in the backlog has less time left than it says; upstreams were told all of it. Accepting
      * failed here, but a loop that is late in its first moments does the same.
@@ -199,15 +211,7 @@
             balancer.awaitHealthy();
             shim.set(Field.ACCEPT_ERROR, Errno.ENFILE);
             sentNanos.set(System.nanoTime());
-            Thread end = new Thread(() -> {
-                try {
-                    Thread.sleep(500); // the length of the fault
-                    shim.set(Field.ACCEPT_ERROR, 0);
-                } catch (IOException | InterruptedException e) {
-                    throw new IllegalStateException(e);
-                }
-            });
-            end.start();
+            Thread end = startEndOfAcceptError(500);
             assertEquals(200, ask(balancer, "waited", "order"));
             end.join();
             assertTrue(excessMillis.get() <= 150, "told " + excessMillis.get() + " ms more than was left");
@@ -221,15 +225,7 @@
             balancer.awaitHealthy();
             for (Errno error : List.of(Errno.ECONNABORTED, Errno.ENFILE, Errno.ENOBUFS)) {
                 shim.set(Field.ACCEPT_ERROR, error);
-                Thread end = new Thread(() -> {
-                    try {
-                        Thread.sleep(300); // the length of the fault
-                        shim.set(Field.ACCEPT_ERROR, 0);
-                    } catch (IOException | InterruptedException e) {
-                        throw new IllegalStateException(e);
-                    }
-                });
-                end.start();
+                Thread end = startEndOfAcceptError(300);
                 assertEquals(200, ask(balancer, "first-after-" + error, "read"));
                 end.join();
                 assertEquals(200, ask(balancer, "later-after-" + error, "read"));
--- a/src/test/java/sedgeyoke/proxy/UpstreamResponsesTest.java
+++ b/src/test/java/sedgeyoke/proxy/UpstreamResponsesTest.java
@@ -7,6 +7,7 @@
 import java.net.Socket;
 import java.util.ArrayDeque;
 import java.util.Queue;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -16,8 +17,11 @@
 /** Invalid responses of upstreams, and valid ones with stray bytes behind them. */
 class UpstreamResponsesTest {
     private static final int LONG_MS = 60_000;
+    private static final int CLIENTS = 6;
 
     private ScriptedPolicy policy;
+    /** Requests that the policy has been told of. */
+    private final AtomicInteger arrived = new AtomicInteger();
 
     /** A policy that has one request in flight at a time and sends the next as soon as one ends. */
     private Loopback oneAfterTheOther(ScriptedServer upstream) throws Exception {
@@ -27,6 +31,7 @@
                 .policy(actions -> {
                     policy = new ScriptedPolicy(actions);
                     policy.onRequest = (m, r) -> {
+                        arrived.incrementAndGet();
                         waiting.add(r);
                         if (waiting.size() == 1) {
                             m.actions.send(r.id(), "u", 0);
@@ -51,13 +56,13 @@
     @ValueSource(strings = {"", "noise", "noise\r\n\r\n", "HTTP/1.1 200 OK\r\n"})
     void strayBytesBehindAResponseAreDiscarded(String noise) throws Exception {
         try (ScriptedServer upstream = new ScriptedServer((request, socket) -> {
-                    Thread.sleep(20); // so that the next request waits for the end of this one
+                    Loopback.await("each request waits for the end of the one before", () -> arrived.get() == CLIENTS);
                     String id = request.headers().get("x-call-id");
                     String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
                     ScriptedServer.write(socket, answer + (noise.isEmpty() ? answer : noise));
                 });
                 Loopback lb = oneAfterTheOther(upstream)) {
-            Socket[] clients = new Socket[6];
+            Socket[] clients = new Socket[CLIENTS];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = lb.connect();
                 ScriptedServer.write(clients[i], Loopback.request("id-" + i, "order", LONG_MS));
--- a/src/test/java/sedgeyoke/transport/ReconnectingDialerTest.java
+++ b/src/test/java/sedgeyoke/transport/ReconnectingDialerTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.junit.jupiter.api.Assertions.fail;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -26,6 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import sedgeyoke.settings.TlsFiles;
 import sedgeyoke.standin.Certificates;
+import sedgeyoke.testing.Await;
 import sedgeyoke.transport.proto.Frame;
 
 /** Connections that are made, lost and made again, over loopback. */
@@ -119,13 +119,7 @@
     }
 
     private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
-        while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > deadline) {
-                fail("not within " + TIMEOUT_MILLIS + " ms: " + what);
-            }
-            Thread.sleep(2);
-        }
+        Await.until(what, TIMEOUT_MILLIS, condition);
     }
 
     @Test
