--- a/src/main/java/sedgeyoke/proxy/common/package-info.java
+++ b/src/main/java/sedgeyoke/proxy/common/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What all parts of the balancer need: sockets or channels inside the process, and a log whose rate is limited.
+ * What all parts of the balancer need: sockets or channels inside the process, a log whose rate is limited, and
+ * units of time.
  */
 package sedgeyoke.proxy.common;
--- a/src/main/java/sedgeyoke/proxy/upstream/EndpointTable.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/EndpointTable.java
@@ -24,7 +24,10 @@
         this.transport = transport;
     }
 
-    /** The upstream with this id; null if the endpoint list does not have it. */
+    /**
+     * The upstream with this id; null if the endpoint list does not have it. Not an {@code Optional}, as it is called
+     * for each attempt.
+     */
     UpstreamEndpoint get(String upstream) {
         return endpoints.get(upstream);
     }
--- a/src/main/java/sedgeyoke/proxy/upstream/RequestUpload.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/RequestUpload.java
@@ -10,7 +10,10 @@
 import sedgeyoke.proxy.exchange.AttemptOutcomes;
 import sedgeyoke.proxy.exchange.RequestBody;
 
-/** Writes a request body to an upstream part by part, as the client sends it. Event loop only. */
+/**
+ * Writes the request body of one attempt to an upstream part by part, as the client sends it. The client is asked to
+ * pause while the connection's write buffer is full. Event loop only.
+ */
 final class RequestUpload implements RequestBody.Sink {
     private final UpstreamConnection connection;
     private final Channel channel;
@@ -24,7 +27,7 @@
         this.attempt = attempt;
     }
 
-    /** The connection takes more again after a pause. */
+    /** Asks the client for more: the connection takes it again after a pause. */
     void resume() {
         attempt.exchange().body().demand();
     }
@@ -36,8 +39,8 @@
 
     @Override
     public boolean forward(ByteBuf data) {
-        channel.writeAndFlush(new DefaultHttpContent(data)).addListener(this::partWritten);
-        context.budget()
+        channel.writeAndFlush(new DefaultHttpContent(data)).addListener(this::failIfUnwritten);
+        context.bodyBudget()
                 .recordBuffered(Transport.pendingBytes(channel)
                         + attempt.exchange().body().bufferedBytes());
         return channel.isWritable();
@@ -50,7 +53,7 @@
                 context.listener().requestWritten(attempt);
                 context.listener().requestBodyComplete(attempt);
             } else {
-                partWritten(written);
+                failIfUnwritten(written);
             }
         });
     }
@@ -60,7 +63,8 @@
         channel.close();
     }
 
-    private void partWritten(Future<? super Void> written) {
+    /** Ends the attempt if a part did not go out; other parts may have, so the outcome depends on them. */
+    private void failIfUnwritten(Future<? super Void> written) {
         if (!written.isSuccess() && connection.carries(attempt)) {
             channel.close();
             connection.fail(AttemptOutcomes.afterConnectionLoss(attempt));
--- /dev/null
+++ b/src/main/java/sedgeyoke/proxy/upstream/ResponseForwarder.java
@@ -0,0 +1,104 @@
+package sedgeyoke.proxy.upstream;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.handler.codec.http.HttpHeaders;
+import java.util.Optional;
+import sedgeyoke.proxy.exchange.ReadOverflowBuffer;
+import sedgeyoke.proxy.exchange.ResponseStream;
+
+/**
+ * Forwards a streamed response to the client part by part, and reads no more of it while the client asks for a pause.
+ * Serves the responses of one connection, one after the other. Event loop only.
+ */
+final class ResponseForwarder implements ResponseStream.Source {
+    private final UpstreamConnection connection;
+    private final UpstreamContext context;
+    private final ResponseStallGuard stallGuard;
+    /** What arrived after the client asked for a pause. */
+    private final ReadOverflowBuffer overflow = new ReadOverflowBuffer();
+
+    private Channel channel;
+    /** Where the response goes; null while none is streamed. */
+    private ResponseStream.Sink sink;
+    /** Whether all of the response has been read. */
+    private boolean complete;
+    /** Whether the client asked for a pause. */
+    private boolean paused;
+
+    ResponseForwarder(UpstreamConnection connection, UpstreamContext context, ResponseStallGuard stallGuard) {
+        this.connection = connection;
+        this.context = context;
+        this.stallGuard = stallGuard;
+    }
+
+    void attach(Channel connected) {
+        channel = connected;
+    }
+
+    /** Offers a response to the client; false if its exchange already has one, and nothing can be forwarded. */
+    boolean start(ResponseStream.Head head) {
+        sink = context.listener().responseStreaming(connection.currentAttempt(), head, this);
+        return sink != null;
+    }
+
+    /** Whether a response is being streamed, or has been and the state of its exchange is not cleared yet. */
+    boolean isStreaming() {
+        return sink != null;
+    }
+
+    boolean isComplete() {
+        return complete;
+    }
+
+    /** Forwards a part, or keeps it until the client takes more; takes over its reference. */
+    void forward(ByteBuf part) {
+        if (paused) {
+            overflow.add(part);
+        } else {
+            paused = !sink.forward(part);
+        }
+        if (paused) {
+            channel.config().setAutoRead(false);
+        }
+    }
+
+    /** The response has been read to its end: forwards what is left, even during a pause, as nothing follows it. */
+    void end(HttpHeaders trailers) {
+        complete = true;
+        if (!overflow.isEmpty()) {
+            sink.forward(overflow.take());
+        }
+        sink.end(trailers);
+    }
+
+    @Override
+    public void demand() {
+        stallGuard.recordRead();
+        paused = false;
+        if (sink != null && !overflow.isEmpty()) {
+            forward(overflow.take());
+        }
+        if (!paused) {
+            channel.config().setAutoRead(true);
+        }
+    }
+
+    @Override
+    public void cancel() {
+        connection.cancel();
+    }
+
+    /** Where a response goes that is being streamed and not complete. */
+    Optional<ResponseStream.Sink> incompleteSink() {
+        return complete ? Optional.empty() : Optional.ofNullable(sink);
+    }
+
+    /** Discards all state of the current response. */
+    void clear() {
+        sink = null;
+        complete = false;
+        paused = false;
+        overflow.release();
+    }
+}
--- a/src/main/java/sedgeyoke/proxy/upstream/ResponseReceiver.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/ResponseReceiver.java
@@ -9,56 +9,53 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
 import sedgeyoke.proxy.exchange.Attempt;
 import sedgeyoke.proxy.exchange.AttemptOutcomes;
 import sedgeyoke.proxy.exchange.BodyAccumulator;
-import sedgeyoke.proxy.exchange.ReadOverflowBuffer;
 import sedgeyoke.proxy.exchange.ResponseStream;
 import sedgeyoke.proxy.exchange.UpstreamResponse;
 
 /**
  * Receives the responses on one connection, one after the other. A response is buffered up to a limit; one that is
- * longer or slow is streamed to the client where bodies may be streamed. Event loop only.
+ * longer or slow is streamed to the client where bodies may be streamed, by a {@link ResponseForwarder}. Event loop
+ * only.
  */
-final class ResponseReceiver implements ResponseStream.Source {
+final class ResponseReceiver {
+    /** A successful response that has begun and is not complete after this time is streamed. */
+    private static final long MAX_BUFFERING_MICROS = UpstreamContext.MAX_RESPONSE_STALL_MICROS;
+
     private final UpstreamConnection connection;
     private final UpstreamContext context;
     private final BodyAccumulator buffered;
-    /** What arrived after the client asked for a pause. */
-    private final ReadOverflowBuffer overflow = new ReadOverflowBuffer();
+    private final ResponseStallGuard stallGuard;
+    private final ResponseForwarder forwarder;
 
     private Channel channel;
     /** The head of the response whose body is being read; null between responses. */
     private HttpResponse head;
-
+    /** Whether the head read last was informational, which has no body: what the decoder says of one is ignored. */
     private boolean informational;
     /** Whether the upstream ends the connection with the response read last. */
     private boolean closesConnection;
 
     private long bodyBytes;
-    /** A response that was buffered completely and not yet handed over. */
+    /** A response that was buffered completely and not yet handed over; null if there is none. */
     private UpstreamResponse response;
-    /** Where a streamed response goes; null for one that is buffered. */
-    private ResponseStream.Sink sink;
-    /** Whether all of a streamed response has been read. */
-    private boolean streamComplete;
-    /** Whether the client asked for a pause. */
-    private boolean paused;
-
-    private long lastReadMicros;
-    /** The attempt whose response is guarded against a stall. */
-    private Attempt guarded;
 
     ResponseReceiver(UpstreamConnection connection, UpstreamContext context) {
         this.connection = connection;
         this.context = context;
         this.buffered = new BodyAccumulator(context.maxBufferedBytes());
+        this.stallGuard = new ResponseStallGuard(connection, context);
+        this.forwarder = new ResponseForwarder(connection, context, stallGuard);
     }
 
     void attach(Channel connected) {
         channel = connected;
+        forwarder.attach(connected);
     }
 
     /** Takes the head of a response. */
@@ -67,7 +64,7 @@
         if (informational) {
             return;
         }
-        if (connection.current() == null || response != null || streamComplete) {
+        if (!connection.hasAttempt() || hasResponse() || isStreamComplete()) {
             channel.close(); // a second response to one request
             return;
         }
@@ -82,7 +79,7 @@
         if (informational || head == null) {
             return;
         }
-        if (connection.current() == null) {
+        if (!connection.hasAttempt()) {
             channel.close();
             return;
         }
@@ -90,95 +87,71 @@
         bodyBytes += part.readableBytes();
         if (context.bodies().streaming() && bodyBytes > context.maxResponseBytes()) {
             // Not announced by the head: the decoder checks those that are.
-            connection.failInvalidResponse("longer than " + context.maxResponseBytes() + " bytes");
+            failTooLong(context.maxResponseBytes());
             return;
         }
-        boolean exceedsBuffer = buffered.size() + part.readableBytes() > context.maxBufferedBytes();
-        if (sink == null && exceedsBuffer && !startStreaming()) {
+        if (!forwarder.isStreaming() && exceedsBuffer(part) && !startStreaming()) {
             return;
         }
-        if (sink == null) {
-            buffered.add(part);
-        } else if (part.isReadable()) {
-            stream(part.retain());
-        }
+        keepOrForward(part);
         if (content instanceof LastHttpContent last) {
             complete(last);
         }
     }
 
+    private boolean exceedsBuffer(ByteBuf part) {
+        return buffered.size() + part.readableBytes() > context.maxBufferedBytes();
+    }
+
+    private void keepOrForward(ByteBuf part) {
+        if (!forwarder.isStreaming()) {
+            buffered.add(part);
+        } else if (part.isReadable()) {
+            forwarder.forward(part.retain());
+        }
+    }
+
     private void complete(LastHttpContent last) {
-        if (sink != null) {
-            streamComplete = true;
-            if (!overflow.isEmpty()) {
-                sink.forward(overflow.take());
-            }
-            sink.end(last.trailingHeaders());
+        if (forwarder.isStreaming()) {
+            forwarder.end(last.trailingHeaders());
         } else {
             response = UpstreamResponse.of(head, buffered.take(), context.loadReportNames(), context.log());
         }
         head = null;
     }
 
-    // ---- Streaming -----------------------------------------------------------------------------------
+    private void failTooLong(long maxBytes) {
+        connection.failInvalidResponse("longer than " + maxBytes + " bytes");
+    }
+
+    // ---- Start of streaming --------------------------------------------------------------------------
 
     /** Sends the response to the client as it arrives from now on; false if it can't be, and the attempt has ended. */
     private boolean startStreaming() {
-        if (!context.bodies().streaming() || AttemptOutcomes.ofResponse(head) != Outcome.OK) {
-            connection.failInvalidResponse("longer than " + context.maxBufferedBytes() + " bytes");
+        if (!context.bodies().streaming() || !isSuccessful()) {
+            failTooLong(context.maxBufferedBytes());
             return false;
         }
         ResponseStream.Head streamedHead = new ResponseStream.Head(
                 head.headers().get(HttpHeaderNames.CONTENT_TYPE), HttpUtil.getContentLength(head, -1L));
-        sink = context.listener().responseStreaming(connection.current(), streamedHead, this);
-        if (sink == null) { // another attempt was faster
+        if (!forwarder.start(streamedHead)) { // another attempt was faster
             channel.close();
             connection.fail(Outcome.RESET);
             return false;
         }
-        stream(Unpooled.wrappedBuffer(buffered.take()));
+        forwarder.forward(Unpooled.wrappedBuffer(buffered.take()));
         return true;
     }
 
-    private void stream(ByteBuf part) {
-        if (paused) {
-            overflow.add(part);
-        } else {
-            paused = !sink.forward(part);
-        }
-        if (paused) {
-            channel.config().setAutoRead(false);
-        }
-    }
-
-    @Override
-    public void demand() {
-        lastReadMicros = context.now();
-        paused = false;
-        if (sink != null && !overflow.isEmpty()) {
-            stream(overflow.take());
-        }
-        if (!paused) {
-            channel.config().setAutoRead(true);
-        }
+    private boolean isSuccessful() {
+        return AttemptOutcomes.ofResponse(head) == Outcome.OK;
     }
 
-    @Override
-    public void cancel() {
-        connection.cancel();
-    }
-
-    // ---- Guards against incomplete responses ----------------------------------------------------------
-
     /** All is read that has arrived, and the response of the attempt is not complete. */
     void readPaused(Attempt attempt) {
-        lastReadMicros = context.now();
-        if (guarded == attempt) {
-            return;
-        }
-        guarded = attempt;
-        guardAgainstStall(attempt, context.maxResponseStallMicros());
-        if (context.bodies().streaming() && head != null && AttemptOutcomes.ofResponse(head) == Outcome.OK) {
+        stallGuard.recordRead();
+        boolean firstPause = stallGuard.guard(attempt, channel);
+        if (firstPause && context.bodies().streaming() && head != null && isSuccessful()) {
             context.listener().responseStarted(attempt);
             streamIfSlow(attempt);
         }
@@ -189,45 +162,33 @@
         context.loop()
                 .schedule(
                         () -> {
-                            if (connection.carries(attempt) && sink == null && response == null && head != null) {
+                            if (connection.carries(attempt) && isBuffering()) {
                                 startStreaming();
                             }
                         },
-                        UpstreamContext.MAX_RESPONSE_STALL_MICROS,
+                        MAX_BUFFERING_MICROS,
                         TimeUnit.MICROSECONDS);
     }
 
-    /**
-     * Ends the attempt if a part of its response has arrived and the rest does not, on a connection that stays open.
-     */
-    private void guardAgainstStall(Attempt attempt, long delayMicros) {
-        context.loop().schedule(() -> checkForStall(attempt), delayMicros, TimeUnit.MICROSECONDS);
-    }
-
-    private void checkForStall(Attempt attempt) {
-        long stallMicros = context.maxResponseStallMicros();
-        boolean readPausedByUs = !channel.config().isAutoRead(); // because its client reads too slowly
-        long leftMicros = readPausedByUs ? stallMicros : lastReadMicros + stallMicros - context.now();
-        if (connection.carries(attempt) && leftMicros > 0) {
-            guardAgainstStall(attempt, leftMicros);
-        } else if (connection.carries(attempt)) {
-            connection.failInvalidResponse("it stalled");
-        }
+    private boolean isBuffering() {
+        return head != null && !forwarder.isStreaming() && !hasResponse();
     }
 
     // ---- Result --------------------------------------------------------------------------------------
 
+    /** Whether a response was buffered completely and not yet handed over. */
     boolean hasResponse() {
         return response != null;
     }
 
-    /** The response that was buffered completely; null if there is none. */
+    /** The response that was buffered completely; there must be one. */
     UpstreamResponse response() {
         return response;
     }
 
+    /** Whether a streamed response has been read to its end. */
     boolean isStreamComplete() {
-        return streamComplete;
+        return forwarder.isComplete();
     }
 
     /** Whether the upstream ends the connection with the response read last. */
@@ -235,19 +196,16 @@
         return closesConnection;
     }
 
+    /** Where a response goes that is being streamed and not complete. */
+    Optional<ResponseStream.Sink> incompleteStream() {
+        return forwarder.incompleteSink();
+    }
+
     /** Discards all state of the current response. */
     void clear() {
-        sink = null;
+        forwarder.clear();
         head = null;
         response = null;
-        streamComplete = false;
-        paused = false;
-        overflow.release();
         buffered.clear();
     }
-
-    /** Where a streamed response that is not complete goes; null if there is none. */
-    ResponseStream.Sink incompleteStream() {
-        return streamComplete ? null : sink;
-    }
 }
--- a/src/main/java/sedgeyoke/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamConnection.java
@@ -11,6 +11,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
+import java.util.Optional;
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
 import sedgeyoke.proxy.common.Transport;
 import sedgeyoke.proxy.exchange.Attempt;
@@ -33,10 +34,14 @@
     private final UpstreamResponseDecoder decoder;
     private final ResponseReceiver receiver;
     private Channel channel;
-    private Attempt current;
-    /** Done once the kernel has all of a request with a complete body, even if its listeners have not run yet. */
+    /** The attempt that waits for its response; null if there is none. */
+    private Attempt currentAttempt;
+    /**
+     * The write of a request with a complete body: done once the kernel has all of it, even if its listeners have not
+     * run yet. Null before the first request, and for one whose body goes out in parts.
+     */
     private ChannelFuture requestWrite;
-    /** The request body that goes out in parts; null if it is complete. */
+    /** The request body that goes out in parts; null between attempts and for one that goes out as a whole. */
     private RequestUpload upload;
 
     private long idleSinceMicros;
@@ -71,14 +76,19 @@
         return endpoint;
     }
 
-    /** The attempt that waits for its response; null if there is none. */
-    Attempt current() {
-        return current;
+    /** Whether an attempt waits for its response. */
+    boolean hasAttempt() {
+        return currentAttempt != null;
+    }
+
+    /** The attempt that waits for its response; there must be one. */
+    Attempt currentAttempt() {
+        return currentAttempt;
     }
 
     @Override
     public boolean carries(Attempt attempt) {
-        return current == attempt;
+        return currentAttempt == attempt;
     }
 
     long idleSinceMicros() {
@@ -102,7 +112,7 @@
     /** Makes it an idle connection of its upstream if that is ready, else closes it. */
     void release() {
         if (channel.isActive() && endpoint.isReady() && isAtCurrentAddress()) {
-            idleSinceMicros = context.now();
+            idleSinceMicros = context.nowMicros();
             endpoint.addIdle(this);
         } else {
             channel.close();
@@ -113,10 +123,10 @@
 
     /** Writes the request of an attempt, once; {@code budgetMillis} is what the upstream may take for it. */
     void send(Attempt attempt, long budgetMillis) {
-        current = attempt;
+        currentAttempt = attempt;
         attempt.sentOn(this);
         if (attempt.exchange().body().streams()) {
-            stream(attempt);
+            startUpload(attempt);
             return;
         }
         requestWrite = channel.writeAndFlush(UpstreamRequests.complete(attempt.exchange(), budgetMillis));
@@ -133,7 +143,7 @@
         }
     }
 
-    private void stream(Attempt attempt) {
+    private void startUpload(Attempt attempt) {
         requestWrite = null; // the last byte is written by the upload
         upload = new RequestUpload(this, channel, context, attempt);
         channel.write(UpstreamRequests.streamingHead(attempt.exchange()));
@@ -169,10 +179,10 @@
             finish(Outcome.OK, null);
         } else if (receiver.hasResponse()) {
             deliverResponse();
-        } else if (current == null) {
+        } else if (!hasAttempt()) {
             ctx.close(); // bytes that no request asked for
         } else {
-            receiver.readPaused(current);
+            receiver.readPaused(currentAttempt);
         }
         ctx.fireChannelReadComplete();
     }
@@ -184,9 +194,9 @@
 
     /** Ends the attempt after a complete response; the connection can be used again if both sides kept to HTTP. */
     private void finish(Outcome outcome, UpstreamResponse response) {
-        Attempt attempt = current;
+        Attempt attempt = currentAttempt;
         boolean reusable = attempt.written() && !receiver.closesConnection() && !decoder.hasMore();
-        current = null;
+        currentAttempt = null;
         clearExchange();
         if (reusable) {
             release();
@@ -196,12 +206,13 @@
         context.listener().ended(attempt, outcome, response);
     }
 
+    /** Forgets request and response of an attempt that has ended; what the client still uploads is discarded. */
     private void clearExchange() {
         receiver.clear();
         if (upload != null) {
-            RequestUpload detached = upload;
+            RequestUpload ended = upload;
             upload = null;
-            detached.detach();
+            ended.detach();
         }
     }
 
@@ -209,7 +220,7 @@
 
     /** Cancels the current attempt, if any. */
     void cancel() {
-        if (current != null) {
+        if (hasAttempt()) {
             stop(Outcome.CANCELLED);
         }
     }
@@ -220,8 +231,8 @@
      */
     @Override
     public void stop(Outcome outcome) {
-        Attempt attempt = current;
-        current = null;
+        Attempt attempt = currentAttempt;
+        currentAttempt = null;
         abortResponse();
         channel.close();
         context.listener().ended(attempt, outcome, null);
@@ -237,13 +248,13 @@
      * The write may have succeeded although its listener runs only after the connection broke: so it is checked first.
      */
     private Outcome outcomeOfConnectionLoss() {
-        if (current == null) {
+        if (!hasAttempt()) {
             return Outcome.RESET;
         }
-        if (!current.written() && requestWrite != null && requestWrite.isSuccess()) {
-            context.listener().requestWritten(current);
+        if (!currentAttempt.written() && requestWrite != null && requestWrite.isSuccess()) {
+            context.listener().requestWritten(currentAttempt);
         }
-        return AttemptOutcomes.afterConnectionLoss(current);
+        return AttemptOutcomes.afterConnectionLoss(currentAttempt);
     }
 
     @Override
@@ -268,9 +279,9 @@
     void fail(Outcome outcome) {
         if (receiver.hasResponse()) {
             deliverResponse();
-        } else if (current != null) {
-            Attempt attempt = current;
-            current = null;
+        } else if (hasAttempt()) {
+            Attempt attempt = currentAttempt;
+            currentAttempt = null;
             abortResponse();
             context.listener().ended(attempt, outcome, null);
         }
@@ -278,10 +289,8 @@
 
     /** Discards the response; the client of one that was being streamed has to see that it is incomplete. */
     private void abortResponse() {
-        ResponseStream.Sink incomplete = receiver.incompleteStream();
+        Optional<ResponseStream.Sink> incomplete = receiver.incompleteStream();
         clearExchange();
-        if (incomplete != null) {
-            incomplete.abort();
-        }
+        incomplete.ifPresent(ResponseStream.Sink::abort);
     }
 }
--- a/src/main/java/sedgeyoke/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamConnectionPool.java
@@ -7,6 +7,7 @@
 import io.netty.channel.ChannelOption;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
+import sedgeyoke.proxy.common.TimeUnits;
 import sedgeyoke.proxy.common.Transport;
 import sedgeyoke.proxy.exchange.Attempt;
 import sedgeyoke.proxy.exchange.AttemptStarter;
@@ -41,7 +42,8 @@
     private final long maxIdleMicros;
     private final Bootstrap bootstrap;
     private final EndpointTable endpoints;
-    private int connections;
+    /** Connections that exist or are being opened. */
+    private int connectionCount;
 
     /** Creates an empty pool of at most {@code maxConnections} connections. */
     public UpstreamConnectionPool(
@@ -56,7 +58,7 @@
         this.maxConnections = maxConnections;
         this.maxIdleMicros =
                 (long) (IDLE_TIME_SHARE * context.settings().limits().idleTimeoutMicros());
-        long connectTimeoutMillis = context.settings().limits().connectTimeoutMicros() / 1_000;
+        long connectTimeoutMillis = context.settings().limits().connectTimeoutMicros() / TimeUnits.MICROS_PER_MILLI;
         this.bootstrap = transport.client(context.loop()).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
                 Math.max(1, connectTimeoutMillis));
         context.loop()
@@ -73,7 +75,7 @@
     }
 
     private void closeIdleTooLong() {
-        endpoints.closeIdleLongerThan(maxIdleMicros, context.now());
+        endpoints.closeIdleLongerThan(maxIdleMicros, context.nowMicros());
     }
 
     // ---- Attempts ------------------------------------------------------------------------------------
@@ -87,9 +89,9 @@
             withhold(attempt, reason);
             return;
         }
-        long now = context.now();
-        endpoint.closeIdleLongerThan(maxIdleMicros, now);
-        UpstreamConnection connection = endpoint.takeIdle(MIN_IDLE_MICROS, now);
+        long nowMicros = context.nowMicros();
+        endpoint.closeIdleLongerThan(maxIdleMicros, nowMicros);
+        UpstreamConnection connection = endpoint.takeIdle(MIN_IDLE_MICROS, nowMicros);
         if (connection != null) {
             send(connection, attempt);
         } else {
@@ -98,23 +100,17 @@
     }
 
     private void connect(UpstreamEndpoint endpoint, Attempt attempt) {
-        if (connections >= maxConnections && !endpoints.closeOldestIdle()) {
+        if (connectionCount >= maxConnections && !endpoints.closeOldestIdle()) {
             // All sockets are in use. The upstream gets nothing of the request, so that the policy may send it
             // elsewhere; this also lowers the limit of an upstream that did not reject it.
             end(attempt, Outcome.REJECTED);
             return;
         }
-        connections++;
+        connectionCount++;
         UpstreamConnection connection = new UpstreamConnection(context, endpoint);
         bootstrap
                 .clone()
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.closeFuture().addListener(closed -> connections--);
-                        connection.initialize(channel);
-                    }
-                })
+                .handler(initializer(connection))
                 .connect(endpoint.address())
                 .addListener((ChannelFuture connected) -> {
                     if (context.loop().inEventLoop()) {
@@ -126,9 +122,19 @@
                 });
     }
 
+    private ChannelInitializer<Channel> initializer(UpstreamConnection connection) {
+        return new ChannelInitializer<>() {
+            @Override
+            protected void initChannel(Channel channel) {
+                channel.closeFuture().addListener(closed -> connectionCount--);
+                connection.initialize(channel);
+            }
+        };
+    }
+
     private void connected(UpstreamConnection connection, Attempt attempt, ChannelFuture connected) {
         if (!connection.hasChannel()) {
-            connections--; // there will be no close that would decrement it
+            connectionCount--; // there will be no close that would decrement it
         }
         if (!connected.isSuccess()) {
             connectFailed(attempt, connected.cause());
@@ -185,7 +191,8 @@
     }
 
     /**
-     * Why an attempt must not be written now; null if it may be.
+     * Why an attempt must not be written now; null if it may be. Not an {@code Optional}, as each attempt is checked
+     * twice.
      *
      * @param endpoint the attempt's upstream; null if the endpoint list does not have it
      */
@@ -203,7 +210,7 @@
         if (remainingMillis(attempt) <= 0) {
             return WithheldReason.NO_TIME_LEFT;
         }
-        if (context.now() >= attempt.resendDeadlineMicros()) {
+        if (context.nowMicros() >= attempt.resendDeadlineMicros()) {
             return WithheldReason.KEY_MAY_BE_FORGOTTEN;
         }
         return null;
@@ -211,7 +218,7 @@
 
     /** What is left until the attempt's deadline, in whole milliseconds, as the request states it. */
     private long remainingMillis(Attempt attempt) {
-        return (attempt.deadlineMicros() - context.now()) / 1_000;
+        return (attempt.deadlineMicros() - context.nowMicros()) / TimeUnits.MICROS_PER_MILLI;
     }
 
     private void withhold(Attempt attempt, WithheldReason reason) {
--- a/src/main/java/sedgeyoke/proxy/upstream/UpstreamContext.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamContext.java
@@ -17,7 +17,7 @@
  * @param settings the platform's settings
  * @param loadReportNames the figures that a load report holds
  * @param bodies limits on bodies
- * @param budget what bodies that are being streamed may hold in total
+ * @param bodyBudget what bodies that are being streamed may hold in total
  * @param listener receives the progress of attempts
  * @param log where misbehaving upstreams are reported
  */
@@ -27,13 +27,14 @@
         Settings settings,
         List<String> loadReportNames,
         BodyLimits bodies,
-        BodyBudget budget,
+        BodyBudget bodyBudget,
         AttemptListener listener,
         RateLimitedLog log) {
-    /** How long a response may pause where bodies are not streamed. */
+    /** How long a response may pause between two parts where bodies are not streamed. */
     static final long MAX_RESPONSE_STALL_MICROS = 100_000;
 
-    long now() {
+    /** Microseconds of the policy's clock. */
+    long nowMicros() {
         return clockMicros.getAsLong();
     }
 
--- a/src/main/java/sedgeyoke/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamEndpoint.java
@@ -80,17 +80,20 @@
         }
     }
 
-    void closeIdleLongerThan(long micros, long now) {
-        while (!idle.isEmpty() && now - oldestIdleSinceMicros() > micros) {
+    void closeIdleLongerThan(long maxIdleMicros, long nowMicros) {
+        while (!idle.isEmpty() && nowMicros - oldestIdleSinceMicros() > maxIdleMicros) {
             closeOldestIdle();
         }
     }
 
-    /** Removes and returns the connection used last that has been idle for at least so long; null if there is none. */
-    UpstreamConnection takeIdle(long leastIdleMicros, long now) {
+    /**
+     * Removes and returns the connection used last that has been idle for at least so long; null if there is none. Not
+     * an {@code Optional}, as it is called for each attempt. One that was closed by its upstream is closed here, too.
+     */
+    UpstreamConnection takeIdle(long minIdleMicros, long nowMicros) {
         for (Iterator<UpstreamConnection> connections = idle.iterator(); connections.hasNext(); ) {
             UpstreamConnection connection = connections.next();
-            if (now - connection.idleSinceMicros() >= leastIdleMicros) {
+            if (nowMicros - connection.idleSinceMicros() >= minIdleMicros) {
                 connections.remove();
                 if (connection.isReusable()) {
                     return connection;
--- a/src/main/java/sedgeyoke/proxy/upstream/UpstreamRequests.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamRequests.java
@@ -9,6 +9,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
+import sedgeyoke.proxy.common.TimeUnits;
 import sedgeyoke.proxy.exchange.Exchange;
 
 /** Builds the HTTP requests that go to upstreams. */
@@ -34,7 +35,7 @@
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, exchange.method(), exchange.uri());
         head.headers()
                 .set(exchange.headers())
-                .set(BUDGET_HEADER, exchange.request().timeLeftMicros() / 1_000);
+                .set(BUDGET_HEADER, exchange.request().timeLeftMicros() / TimeUnits.MICROS_PER_MILLI);
         if (exchange.contentLength() >= 0) {
             head.headers().set(HttpHeaderNames.CONTENT_LENGTH, exchange.contentLength());
         } else {
--- a/src/main/java/sedgeyoke/proxy/upstream/UpstreamResponseDecoder.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamResponseDecoder.java
@@ -6,7 +6,6 @@
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseDecoder;
@@ -24,10 +23,12 @@
  * if it is reset.
  */
 final class UpstreamResponseDecoder extends HttpResponseDecoder {
-    private static final int MAX_INFORMATIONAL = 20;
+    private static final int MAX_CONSECUTIVE_INFORMATIONAL = 20;
 
     private final long maxBytes;
+    /** Informational responses since the last final one. */
     private int informationalCount;
+    /** Whether a response has begun and its last part has not been decoded. */
     private boolean insideResponse;
 
     /**
@@ -51,14 +52,17 @@
         int before = out.size();
         int start = in.readerIndex();
         super.decode(ctx, in, out);
-        insideResponse = out.size() > before
-                ? !(out.get(out.size() - 1) instanceof LastHttpContent)
-                : insideResponse || in.readerIndex() > start;
-        if (out.size() > before && out.get(before) instanceof HttpResponse head) {
-            String problem = problemOf(head);
-            if (problem != null) {
-                out.remove(before);
-                throw new CorruptedFrameException(problem);
+        if (out.size() == before) {
+            insideResponse |= in.readerIndex() > start;
+            return;
+        }
+        insideResponse = !(out.get(out.size() - 1) instanceof LastHttpContent);
+        if (out.get(before) instanceof HttpResponse head) {
+            try {
+                validate(head);
+            } catch (CorruptedFrameException e) {
+                out.remove(before); // or it would be passed on in spite of the exception
+                throw e;
             }
         }
     }
@@ -78,37 +82,52 @@
         throw new CorruptedFrameException("both a length and chunks");
     }
 
-    /** What is invalid in the head of a response; null if nothing is. */
-    private String problemOf(HttpResponse head) {
-        HttpVersion version = head.protocolVersion();
+    private void validate(HttpResponse head) {
         if (head.decoderResult().isFailure()) {
-            return "a head that cannot be read";
+            throw new CorruptedFrameException("a head that cannot be read");
+        }
+        validateVersion(head.protocolVersion());
+        if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
+            validateInformational(head.status());
+        } else {
+            informationalCount = 0;
+            validateFinal(head);
         }
+    }
+
+    private static void validateVersion(HttpVersion version) {
         if (!version.equals(HttpVersion.HTTP_1_1) && !version.equals(HttpVersion.HTTP_1_0)) {
-            return "the version " + version;
+            throw new CorruptedFrameException("the version " + version);
         }
-        if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            return ++informationalCount > MAX_INFORMATIONAL
-                            || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
-                    ? "the status " + head.status().code()
-                    : null;
+    }
+
+    /** No request of ours asks for another protocol, so that a switch to one is invalid. */
+    private void validateInformational(HttpResponseStatus status) {
+        informationalCount++;
+        if (informationalCount > MAX_CONSECUTIVE_INFORMATIONAL
+                || status.equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
+            throw new CorruptedFrameException("the status " + status.code());
         }
-        informationalCount = 0;
+    }
+
+    private void validateFinal(HttpResponse head) {
         if (head.status().codeClass() == HttpStatusClass.UNKNOWN) {
-            return "the status " + head.status().code();
+            throw new CorruptedFrameException("the status " + head.status().code());
         }
-        HttpHeaders headers = head.headers();
-        List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (codings.isEmpty()) {
-            long length = HttpUtil.getContentLength(head, -1L);
-            boolean endsWithConnection =
-                    length < 0 && !headers.contains(HttpHeaderNames.CONTENT_LENGTH) && !HttpUtil.isKeepAlive(head);
-            return length < 0 && !endsWithConnection || length > maxBytes
-                    ? "the length " + headers.get(HttpHeaderNames.CONTENT_LENGTH)
-                    : null;
+            validateLength(head);
+        } else if (codings.size() > 1 || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
+            throw new CorruptedFrameException("the transfer encoding " + codings);
+        }
+    }
+
+    private void validateLength(HttpResponse head) {
+        long length = HttpUtil.getContentLength(head, -1L);
+        String announced = head.headers().get(HttpHeaderNames.CONTENT_LENGTH);
+        boolean endsWithConnection = announced == null && !HttpUtil.isKeepAlive(head);
+        if (length < 0 && !endsWithConnection || length > maxBytes) {
+            throw new CorruptedFrameException("the length " + announced);
         }
-        return codings.size() == 1 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))
-                ? null
-                : "the transfer encoding " + codings;
     }
 }
