--- a/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
+++ b/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
@@ -112,7 +112,8 @@
     record Timer(String token) {}
 
     /**
-     * The upstreams that operators have cordoned.
+     * The upstreams that operators have cordoned, as the policy reads them. Where they are changed and stored they are
+     * a {@code CordonSet} of the proxy, which the policy must not depend on.
      *
      * @param sinceMicrosById since when, by upstream id; ids may be unknown to the endpoint list
      */
--- a/src/main/java/sedgeyoke/proxy/admin/AdminServer.java
+++ b/src/main/java/sedgeyoke/proxy/admin/AdminServer.java
@@ -24,6 +24,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Predicate;
 import sedgeyoke.proxy.common.Transport;
 
 /**
@@ -32,6 +33,11 @@
  * small number of connections, of which the oldest is closed for a new one.
  */
 public final class AdminServer {
+    private static final String CORDON_PATH = "/admin/cordon";
+    private static final String UNCORDON_PATH = "/admin/uncordon";
+    private static final String HEALTH_PATH = "/admin/health";
+    private static final String METRICS_PATH = "/admin/stats";
+
     private static final int MAX_CALLERS = 32;
     private static final int MAX_CALL_BYTES = 4_096;
     private static final int MAX_ID_LENGTH = 256;
@@ -50,8 +56,11 @@
         /** The metrics as text. */
         String metrics();
 
-        /** Cordons or uncordons an upstream; false for an unknown id, or if there are too many cordons. */
-        boolean cordon(String id, boolean cordoned);
+        /** Cordons an upstream; false for an unknown id, or if there are too many cordons. */
+        boolean cordon(String id);
+
+        /** Uncordons an upstream; false for an unknown id. */
+        boolean uncordon(String id);
     }
 
     /** Creates a server that does not listen yet. */
@@ -77,8 +86,8 @@
 
     private FullHttpResponse respond(FullHttpRequest call) {
         String path = new QueryStringDecoder(call.uri()).rawPath();
-        boolean changes = path.equals("/admin/cordon") || path.equals("/admin/uncordon");
-        boolean reads = path.equals("/admin/health") || path.equals("/admin/stats");
+        boolean changes = path.equals(CORDON_PATH) || path.equals(UNCORDON_PATH);
+        boolean reads = path.equals(HEALTH_PATH) || path.equals(METRICS_PATH);
         if (call.decoderResult().isFailure()) {
             return response(HttpResponseStatus.BAD_REQUEST, "malformed call\n");
         } else if (!changes && !reads) {
@@ -86,8 +95,8 @@
         } else if (!call.method().equals(changes ? HttpMethod.POST : HttpMethod.GET)) {
             return response(HttpResponseStatus.METHOD_NOT_ALLOWED, (changes ? "POST" : "GET") + " it\n");
         } else if (changes) {
-            return cordon(call.content().toString(StandardCharsets.UTF_8).strip(), path.equals("/admin/cordon"));
-        } else if (path.equals("/admin/stats")) {
+            return change(call, path.equals(CORDON_PATH) ? operations::cordon : operations::uncordon);
+        } else if (path.equals(METRICS_PATH)) {
             return response(HttpResponseStatus.OK, operations.metrics());
         }
         return operations.healthy()
@@ -95,11 +104,13 @@
                 : response(HttpResponseStatus.SERVICE_UNAVAILABLE, "takes no clients\n");
     }
 
-    private FullHttpResponse cordon(String id, boolean cordoned) {
+    /** Applies a change to the upstream whose id is the body of the call. */
+    private static FullHttpResponse change(FullHttpRequest call, Predicate<String> operation) {
+        String id = call.content().toString(StandardCharsets.UTF_8).strip();
         if (id.isEmpty() || id.length() > MAX_ID_LENGTH || id.chars().anyMatch(character -> character <= ' ')) {
             return response(HttpResponseStatus.BAD_REQUEST, "the body is the id of an upstream\n");
         }
-        return operations.cordon(id, cordoned)
+        return operation.test(id)
                 ? response(HttpResponseStatus.OK, "ok\n")
                 : response(HttpResponseStatus.NOT_FOUND, "no such upstream, or no room for more\n");
     }
--- a/src/main/java/sedgeyoke/proxy/cordon/CordonSet.java
+++ b/src/main/java/sedgeyoke/proxy/cordon/CordonSet.java
@@ -6,7 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * A set of cordoned upstreams, immutable.
+ * A set of cordoned upstreams, immutable, with what changes and combines such sets. The policy gets the result as its
+ * own {@code LoadBalancingPolicy.Cordons}: it must not depend on this package, and only reads it.
  *
  * @param sinceMicrosById for each upstream's id, in natural order, since when it is cordoned: microseconds on the clock
  *     of the policy
--- a/src/main/java/sedgeyoke/proxy/cordon/CordonStore.java
+++ b/src/main/java/sedgeyoke/proxy/cordon/CordonStore.java
@@ -12,6 +12,7 @@
 import java.util.List;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import java.util.function.BooleanSupplier;
 
 /**
  * The upstreams that operators have cordoned, that is taken out of service by hand. The set survives an upgrade: the
@@ -42,20 +43,35 @@
     }
 
     /**
-     * Cordons or uncordons an upstream and writes the file; a second time changes nothing.
+     * Cordons an upstream and writes the file; one that is cordoned already keeps its time.
      *
      * @return false if there are too many cordons
      * @throws IOException if the file cannot be read or written; the set may then be that of the file
      */
-    public boolean set(String id, boolean cordoned, long nowMicros) throws IOException {
+    public boolean cordon(String id, long nowMicros) throws IOException {
+        return change(() -> add(id, nowMicros));
+    }
+
+    /**
+     * Uncordons an upstream and writes the file; does nothing else if it is not cordoned.
+     *
+     * @return whether that was done
+     * @throws IOException if the file cannot be read or written; the set may then be that of the file
+     */
+    public boolean uncordon(String id) throws IOException {
+        return change(() -> remove(id));
+    }
+
+    /** Applies a change to what the other process has written last, and writes the result if it was applied. */
+    private boolean change(BooleanSupplier change) throws IOException {
         if (file == null) {
-            return apply(id, cordoned, nowMicros);
+            return change.getAsBoolean();
         }
         Path lock = file.resolveSibling(file.getFileName() + ".lock");
         try (FileChannel channel = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock fileLock = channel.lock()) { // against the other process, which holds it for a moment only
             refresh();
-            boolean applied = fileLock.isValid() && apply(id, cordoned, nowMicros);
+            boolean applied = fileLock.isValid() && change.getAsBoolean();
             if (applied) {
                 write();
             }
@@ -63,13 +79,19 @@
         }
     }
 
-    private boolean apply(String id, boolean cordoned, long nowMicros) {
-        if (cordoned == cordons.contains(id)) {
+    private boolean add(String id, long nowMicros) {
+        if (cordons.contains(id)) {
             return true;
-        } else if (cordoned && cordons.size() >= MAX_CORDONS) {
+        }
+        if (cordons.size() >= MAX_CORDONS) {
             return false;
         }
-        cordons = cordoned ? cordons.with(id, nowMicros) : cordons.without(id);
+        cordons = cordons.with(id, nowMicros);
+        return true;
+    }
+
+    private boolean remove(String id) {
+        cordons = cordons.without(id);
         return true;
     }
 
--- a/src/main/java/sedgeyoke/proxy/core/CordonRegistry.java
+++ b/src/main/java/sedgeyoke/proxy/core/CordonRegistry.java
@@ -28,6 +28,11 @@
     /** The time of each is when this process was notified of it. */
     private CordonSet fleetWide = CordonSet.EMPTY;
 
+    /** A change of the stored cordons; returns whether it was applied. */
+    private interface StoreChange {
+        boolean apply() throws IOException;
+    }
+
     CordonRegistry(
             PolicyClock clock, PolicyEvents events, EndpointTable endpoints, CordonStore local, RateLimitedLog log) {
         this.clock = clock;
@@ -54,14 +59,23 @@
         }
     }
 
-    /** Cordons an upstream or ends that; false for an unknown id or where it cannot be stored. */
-    boolean set(String id, boolean cordoned) {
+    /** Cordons an upstream; false for an unknown id or where it cannot be stored. */
+    boolean cordon(String id) {
+        return change(id, () -> local.cordon(id, clock.now()));
+    }
+
+    /** Uncordons an upstream; false for an unknown id or where it cannot be stored. */
+    boolean uncordon(String id) {
+        return change(id, () -> local.uncordon(id));
+    }
+
+    private boolean change(String id, StoreChange change) {
         CordonSet before = local.cordons();
         if (!endpoints.contains(id) && !before.contains(id)) {
             return false;
         }
         try {
-            boolean applied = local.set(id, cordoned, clock.now());
+            boolean applied = change.apply();
             if (!before.equals(local.cordons())) {
                 changed();
             }
--- a/src/main/java/sedgeyoke/proxy/core/PolicyActions.java
+++ b/src/main/java/sedgeyoke/proxy/core/PolicyActions.java
@@ -81,8 +81,13 @@
 
     @Override
     public void watchEndpoints(boolean enabled) {
-        if (settings.subscribesToEndpoints()) {
-            discovery.watch(enabled);
+        if (!settings.subscribesToEndpoints()) {
+            return; // the watch goes on from the start to the end of the process
+        }
+        if (enabled) {
+            discovery.startWatching();
+        } else {
+            discovery.stopWatching();
         }
     }
 
--- a/src/main/java/sedgeyoke/proxy/core/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/core/ProxyCore.java
@@ -157,7 +157,7 @@
         endpoints.update(configured);
         events.deliver(() -> events.policy().endpointsUpdated(now(), ListKind.RESTORED, configured.upstreams()));
         if (!settings.subscribesToEndpoints()) {
-            discovery.watch(true);
+            discovery.startWatching();
         }
         if (config.adminAddress() != null) {
             cordons.start(loop);
@@ -289,9 +289,14 @@
 
     // ---- For operators and other features ------------------------------------------------------------
 
-    /** Cordons an upstream or ends that; false for an id that nobody has. */
-    public boolean cordon(String id, boolean cordoned) {
-        return cordons.set(id, cordoned);
+    /** Cordons an upstream; false for an id that nobody has, and if that cannot be stored. */
+    public boolean cordon(String id) {
+        return cordons.cordon(id);
+    }
+
+    /** Uncordons an upstream; false for an id that nobody has, and if that cannot be stored. */
+    public boolean uncordon(String id) {
+        return cordons.uncordon(id);
     }
 
     /** Metrics as text; {@code inFlight} is the number of requests that are taken and not yet answered. */
--- a/src/main/java/sedgeyoke/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/DiscoveryClient.java
@@ -79,11 +79,11 @@
         /** Discovery has answered, and the list in its answer has been handed over. */
         void confirmed();
 
-        /** A poll of the shared service has failed; it is not repeated before {@link #watch} is called again. */
+        /** A poll of the shared service has failed; it is not repeated before the next {@link #startWatching}. */
         void unavailable();
     }
 
-    /** Creates a client that sends nothing before {@link #watch} or {@link #fetch}. */
+    /** Creates a client that sends nothing before {@link #startWatching} or {@link #fetch}. */
     public DiscoveryClient(
             EventLoop loop,
             BalancerConfig config,
@@ -123,14 +123,25 @@
         return hasList;
     }
 
-    /** Starts watching, or stops after the current call. */
-    public void watch(boolean enabled) {
-        watching = enabled;
-        if (enabled && !callInProgress) {
+    /** Starts watching, or goes on with it: calls discovery now, or once the current call has ended. */
+    public void startWatching() {
+        watching = true;
+        if (!callInProgress) {
             call();
         }
     }
 
+    /** Stops watching; the current call is the last one. */
+    public void stopWatching() {
+        watching = false;
+    }
+
+    private void continueWatching() {
+        if (watching) {
+            startWatching();
+        }
+    }
+
     /** Fetches the complete list now; a watch in progress is aborted. */
     public void fetch() {
         revisions.requireCompleteList();
@@ -233,7 +244,7 @@
     /** Continues watching after a pause that is too short for the watch to count as interrupted. */
     private void continueAfterPause() {
         int pauseMicros = MIN_PAUSE_MICROS + MICROS_PER_MILLI * random.nextInt(PAUSE_JITTER_MILLIS);
-        loop.schedule(() -> watch(watching), pauseMicros, TimeUnit.MICROSECONDS);
+        loop.schedule(this::continueWatching, pauseMicros, TimeUnit.MICROSECONDS);
     }
 
     // ---- Answers -------------------------------------------------------------------------------------
--- a/src/main/java/sedgeyoke/proxy/lifecycle/BalancerServer.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/BalancerServer.java
@@ -99,8 +99,13 @@
         }
 
         @Override
-        public boolean cordon(String id, boolean cordoned) {
-            return core.cordon(id, cordoned);
+        public boolean cordon(String id) {
+            return core.cordon(id);
+        }
+
+        @Override
+        public boolean uncordon(String id) {
+            return core.uncordon(id);
         }
     }
 
--- a/src/test/java/sedgeyoke/proxy/StoredCordonsTest.java
+++ b/src/test/java/sedgeyoke/proxy/StoredCordonsTest.java
@@ -43,7 +43,7 @@
         Path written = folder.resolve("written");
         CordonStore cordons = new CordonStore(written);
         for (Map.Entry<String, Long> id : IDS.entrySet()) {
-            assertTrue(cordons.set(id.getKey(), true, id.getValue()));
+            assertTrue(cordons.cordon(id.getKey(), id.getValue()));
         }
         assertArrayEquals(Files.readAllBytes(stored), Files.readAllBytes(written));
     }
--- a/src/test/java/sedgeyoke/proxy/cordon/CordonStoreTest.java
+++ b/src/test/java/sedgeyoke/proxy/cordon/CordonStoreTest.java
@@ -33,13 +33,13 @@
     void theNextProcessReadsTheCordonsOfTheOneBefore() throws Exception {
         CordonStore before = new CordonStore(file);
         assertFalse(before.refresh());
-        assertTrue(before.set("s-1", true, 7));
-        assertTrue(before.set("s-2", true, 8));
-        assertTrue(before.set("s-2", true, 9), "twice is as good as once");
+        assertTrue(before.cordon("s-1", 7));
+        assertTrue(before.cordon("s-2", 8));
+        assertTrue(before.cordon("s-2", 9), "twice is as good as once");
         CordonStore next = new CordonStore(file);
         assertTrue(next.refresh());
         assertEquals(Map.of("s-1", 7L, "s-2", 8L), next.cordons().sinceMicrosById());
-        assertTrue(next.set("s-1", false, 10));
+        assertTrue(next.uncordon("s-1"));
         assertTrue(before.refresh());
         assertEquals(Set.of("s-2"), before.cordons().sinceMicrosById().keySet());
         assertFalse(before.refresh(), "no news");
@@ -48,23 +48,23 @@
     @Test
     void cordoningAndUncordoningAreIdempotent() throws Exception {
         CordonStore cordons = new CordonStore(file);
-        cordons.set("s", true, 1);
-        cordons.set("s", true, 2);
-        assertTrue(cordons.set("s", false, 3));
+        cordons.cordon("s", 1);
+        cordons.cordon("s", 2);
+        assertTrue(cordons.uncordon("s"));
         assertEquals(Map.of(), cordons.cordons().sinceMicrosById());
-        assertTrue(cordons.set("s", false, 4));
+        assertTrue(cordons.uncordon("s"));
     }
 
     @Test
     void theNumberOfCordonsIsBounded() throws Exception {
         CordonStore cordons = new CordonStore(null);
         for (int i = 0; i < CordonStore.MAX_CORDONS; i++) {
-            assertTrue(cordons.set("s-" + i, true, i));
+            assertTrue(cordons.cordon("s-" + i, i));
         }
-        assertFalse(cordons.set("one-more", true, 0));
-        assertTrue(cordons.set("s-0", true, 0));
-        assertTrue(cordons.set("s-0", false, 0));
-        assertTrue(cordons.set("one-more", true, 0));
+        assertFalse(cordons.cordon("one-more", 0));
+        assertTrue(cordons.cordon("s-0", 0));
+        assertTrue(cordons.uncordon("s-0"));
+        assertTrue(cordons.cordon("one-more", 0));
     }
 
     @ParameterizedTest
@@ -80,7 +80,7 @@
             })
     void anInvalidFileChangesNothingAndIsReportedOnce(String content) throws Exception {
         CordonStore cordons = new CordonStore(file);
-        cordons.set("s", true, 1);
+        cordons.cordon("s", 1);
         Files.writeString(file, content);
         assertThrows(IOException.class, cordons::refresh);
         assertEquals(Set.of("s"), cordons.cordons().sinceMicrosById().keySet());
@@ -91,7 +91,7 @@
     @Test
     void aMissingFolderIsAnError() {
         CordonStore cordons = new CordonStore(folder.resolve("nonesuch").resolve("cordons"));
-        assertThrows(IOException.class, () -> cordons.set("s", true, 1));
+        assertThrows(IOException.class, () -> cordons.cordon("s", 1));
     }
 
     /** Nothing is lost if both write at the same time. Two JVMs, because file locks are held by the whole JVM. */
@@ -125,7 +125,7 @@
         public static void main(String[] args) throws IOException {
             CordonStore cordons = new CordonStore(Path.of(args[0]));
             for (int i = 0; i < WORDS; i++) {
-                cordons.set(args[1] + "-" + i, true, i);
+                cordons.cordon(args[1] + "-" + i, i);
             }
         }
     }
