--- a/src/main/java/sedgeyoke/proxy/core/CordonRegistry.java
+++ b/src/main/java/sedgeyoke/proxy/core/CordonRegistry.java
@@ -2,10 +2,12 @@
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
+import java.nio.file.Path;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy;
 import sedgeyoke.proxy.common.RateLimitedLog;
+import sedgeyoke.proxy.config.BalancerConfig;
 import sedgeyoke.proxy.cordon.CordonSet;
 import sedgeyoke.proxy.cordon.CordonStore;
 import sedgeyoke.proxy.exchange.PolicyClock;
@@ -42,6 +44,20 @@
         this.log = log;
     }
 
+    /** The stored cordons of a balancer; they are lost with the process where there is no file for them. */
+    static CordonStore storeOf(BalancerConfig config) {
+        return new CordonStore(cordonFile(config));
+    }
+
+    /** The file that the processes of one balancer share during an upgrade; null where there is no admin endpoint. */
+    private static Path cordonFile(BalancerConfig config) {
+        if (config.adminAddress() == null || config.sharedFolder() == null) {
+            return null;
+        }
+        return config.sharedFolder()
+                .resolve("sedgeyoke-cordons-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
+    }
+
     /** Reads the stored cordons, and again at short intervals as another process may change them. */
     void start(EventLoop loop) {
         refresh(); // before the first client
--- a/src/main/java/sedgeyoke/proxy/core/PolicyActions.java
+++ b/src/main/java/sedgeyoke/proxy/core/PolicyActions.java
@@ -1,43 +1,33 @@
 package sedgeyoke.proxy.core;
 
-import io.netty.channel.EventLoop;
-import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy;
 import sedgeyoke.policy.LoadBalancingPolicy.Settings;
 import sedgeyoke.proxy.common.RateLimitedLog;
 import sedgeyoke.proxy.discovery.DiscoveryClient;
 import sedgeyoke.proxy.exchange.ExchangeActions;
-import sedgeyoke.proxy.exchange.PolicyClock;
-import sedgeyoke.proxy.exchange.PolicyEvents;
 import sedgeyoke.proxy.upstream.UpstreamConnectionPool;
 
 /** Carries out what the policy decides; for single exchanges that is up to {@link ExchangeActions}. Event loop only. */
 final class PolicyActions implements LoadBalancingPolicy.Actions {
-    private final EventLoop loop;
-    private final PolicyClock clock;
     private final Settings settings;
-    private final PolicyEvents events;
     private final ExchangeActions exchanges;
     private final UpstreamConnectionPool pool;
     private final DiscoveryClient discovery;
+    private final PolicyTimers timers;
     private final RateLimitedLog log;
 
     PolicyActions(
-            EventLoop loop,
-            PolicyClock clock,
             Settings settings,
-            PolicyEvents events,
             ExchangeActions exchanges,
             UpstreamConnectionPool pool,
             DiscoveryClient discovery,
+            PolicyTimers timers,
             RateLimitedLog log) {
-        this.loop = loop;
-        this.clock = clock;
         this.settings = settings;
-        this.events = events;
         this.exchanges = exchanges;
         this.pool = pool;
         this.discovery = discovery;
+        this.timers = timers;
         this.log = log;
     }
 
@@ -63,15 +53,7 @@
 
     @Override
     public void setTimer(LoadBalancingPolicy.Timer timer, long delayMicros) {
-        long dueMicros = clock.now() + delayMicros;
-        clock.timerSet(dueMicros);
-        loop.schedule(
-                () -> {
-                    clock.timerFired(dueMicros);
-                    events.deliver(() -> events.policy().timerFired(clock.now(), timer));
-                },
-                delayMicros,
-                TimeUnit.MICROSECONDS);
+        timers.set(timer, delayMicros);
     }
 
     @Override
--- a/src/main/java/sedgeyoke/proxy/core/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/core/ProxyCore.java
@@ -1,7 +1,6 @@
 package sedgeyoke.proxy.core;
 
 import io.netty.channel.EventLoop;
-import java.nio.file.Path;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Function;
@@ -14,7 +13,6 @@
 import sedgeyoke.proxy.common.Transport;
 import sedgeyoke.proxy.config.BalancerConfig;
 import sedgeyoke.proxy.config.EndpointList;
-import sedgeyoke.proxy.cordon.CordonStore;
 import sedgeyoke.proxy.discovery.DiscoveryClient;
 import sedgeyoke.proxy.discovery.DiscoveryMetrics;
 import sedgeyoke.proxy.discovery.InitialListBarrier;
@@ -29,7 +27,6 @@
 import sedgeyoke.proxy.exchange.PolicyEvents;
 import sedgeyoke.proxy.exchange.RejectionReason;
 import sedgeyoke.proxy.exchange.RequestMetrics;
-import sedgeyoke.proxy.upstream.EndpointChanges;
 import sedgeyoke.proxy.upstream.EndpointTable;
 import sedgeyoke.proxy.upstream.UpstreamConnectionPool;
 import sedgeyoke.proxy.upstream.UpstreamContext;
@@ -46,7 +43,7 @@
  *   <li>{@link #start} runs on the event loop: the time limit of the {@link InitialListBarrier} begins; the policy
  *       starts, and gets the endpoint list of the configuration as {@link ListKind#RESTORED}; {@link DiscoveryClient}
  *       sends its first call, which discovery answers without a wait (where lists are polled, the policy's subscription
- *       sends it); the stored cordons ({@link CordonStore}) are read.
+ *       sends it); the stored cordons ({@link CordonRegistry}) are read.
  *   <li>Meanwhile {@code JitWarmUp} serves requests in the process, on a thread of its own, so that its code is
  *       compiled. It may take longer than the barrier holds; then requests are forwarded from the bind on.
  *   <li>{@code BalancerMain} installs the shutdown hook and only then binds the listener: from here on clients can
@@ -118,28 +115,28 @@
         this.exchanges =
                 new ExchangeLifecycle(clock, events, initialListBarrier, table, deadlines, attempts, completion);
         deadlines.connect(exchanges::expire);
-        UpstreamContext context = new UpstreamContext(
-                loop, clock::now, settings, config.instanceSettings().reportNames(), bodies, budget, attempts, log);
-        int maxUpstreamConnections = (int) (UPSTREAM_SOCKET_SHARE * config.sockets());
         this.endpoints = new EndpointTable(transport);
-        UpstreamConnectionPool pool =
-                new UpstreamConnectionPool(context, transport, endpoints, maxUpstreamConnections, metrics);
-        this.discovery =
-                new DiscoveryClient(loop, config, transport, clock::now, new ListReceiver(), log, discoveryMetrics);
-        this.cordons = new CordonRegistry(clock, events, endpoints, new CordonStore(cordonFile(config)), log);
+        UpstreamConnectionPool pool = createPool(transport, attempts);
+        this.discovery = createDiscoveryClient(transport);
+        this.cordons = new CordonRegistry(clock, events, endpoints, CordonRegistry.storeOf(config), log);
         ExchangeActions exchangeActions = new ExchangeActions(loop, clock, settings, table, attempts, completion, pool);
-        PolicyActions actions = new PolicyActions(loop, clock, settings, events, exchangeActions, pool, discovery, log);
+        PolicyTimers timers = new PolicyTimers(loop, clock, events);
+        PolicyActions actions = new PolicyActions(settings, exchangeActions, pool, discovery, timers, log);
         events.connect(
                 policy.apply(actions), exchange -> completion.endUnanswered(exchange, RejectionReason.POLICY_FAULT));
     }
 
-    /** The file that the processes of one balancer share during an upgrade; null where there is no admin endpoint. */
-    private static Path cordonFile(BalancerConfig config) {
-        if (config.adminAddress() == null || config.sharedFolder() == null) {
-            return null;
-        }
-        return config.sharedFolder()
-                .resolve("sedgeyoke-cordons-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
+    private UpstreamConnectionPool createPool(Transport transport, AttemptProgress attempts) {
+        UpstreamContext context = new UpstreamContext(
+                loop, clock::now, settings, config.instanceSettings().reportNames(), bodies, budget, attempts, log);
+        int maxConnections = (int) (UPSTREAM_SOCKET_SHARE * config.sockets());
+        return new UpstreamConnectionPool(context, transport, endpoints, maxConnections, metrics);
+    }
+
+    private DiscoveryClient createDiscoveryClient(Transport transport) {
+        EndpointListReceiver receiver =
+                new EndpointListReceiver(clock, events, endpoints, initialListBarrier, discoveryMetrics, log);
+        return new DiscoveryClient(loop, config, transport, clock::now, receiver, log, discoveryMetrics);
     }
 
     /**
@@ -164,28 +161,6 @@
         }
     }
 
-    /** Takes over what discovery answers. */
-    private final class ListReceiver implements DiscoveryClient.Listener {
-        @Override
-        public void listed(EndpointList list) {
-            discoveryMetrics.count(DiscoveryMetrics.Event.LIST_ACCEPTED);
-            EndpointChanges changes = endpoints.update(list);
-            log.state("endpoints: revision " + list.revision() + (list.complete() ? " complete: " : ": ") + changes);
-            ListKind kind = list.complete() ? ListKind.COMPLETE : ListKind.CHANGES;
-            events.deliver(() -> events.policy().endpointsUpdated(now(), kind, list.upstreams()));
-        }
-
-        @Override
-        public void confirmed() {
-            initialListBarrier.listConfirmed();
-        }
-
-        @Override
-        public void unavailable() {
-            events.deliver(() -> events.policy().endpointsUnavailable(now()));
-        }
-    }
-
     /** Takes over what may change without a restart, from a configuration that was read again. */
     public void reload(BalancerConfig changed) {
         List<String> fieldsThatNeedRestart = config.needRestart(changed);
--- a/src/main/java/sedgeyoke/serve/BalancerMain.java
+++ b/src/main/java/sedgeyoke/serve/BalancerMain.java
@@ -5,7 +5,10 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
+import java.net.SocketAddress;
 import java.nio.channels.ServerSocketChannel;
+import sedgeyoke.body.BodyLimits;
+import sedgeyoke.proxy.common.TimeUnits;
 import sedgeyoke.proxy.config.BalancerConfig;
 import sedgeyoke.proxy.config.InvalidConfigException;
 import sedgeyoke.proxy.lifecycle.BalancerServer;
@@ -17,6 +20,7 @@
  * lists the steps of a start in their order.
  */
 public final class BalancerMain {
+    private static final int EXIT_CANNOT_START = 2;
     private static final String USAGE = "usage: serve [--config FILE]";
     /** A reload is taken to delay a signal no longer than this, or a broken disk would make the shutdown too short. */
     private static final long MAX_SIGNAL_DELAY_MICROS = 500_000;
@@ -28,6 +32,7 @@
 
     private final String configPath;
     private final BalancerServer server;
+    /** Null if no operator's file is named. */
     private final OptionalFeatures features;
     /** When the last reload began and ended, in nanoseconds of the monotonic clock; 0 for none. */
     private volatile long reloadBeganNanos;
@@ -42,55 +47,97 @@
 
     /** Runs until SIGTERM; exits with 2 if a configuration or the address to listen on is invalid. */
     public static void main(String[] args) throws InterruptedException {
-        String operator = System.getenv("SEDGEYOKE_OPERATOR");
-        if (args.length == 2 && args[0].equals("--config")) {
-            operator = args[1];
-        } else if (args.length > 0) {
-            fail(USAGE);
+        try {
+            start(args);
+        } catch (StartupFailedException e) {
+            System.err.println("cannot start: " + e.getMessage());
+            System.exit(EXIT_CANNOT_START);
         }
+    }
+
+    private static void start(String[] args) throws StartupFailedException, InterruptedException {
+        String operatorFile = operatorFile(args);
         ReloadSignal.run(BalancerMain::onReloadSignal); // first: without it SIGHUP ends the JVM
-        String path = System.getenv("BALANCER_CONFIG");
-        BalancerConfig config = null;
-        OptionalFeatures features = null;
+        String configPath = System.getenv("BALANCER_CONFIG");
+        BalancerConfig config;
+        OptionalFeatures features;
         try {
-            config = BalancerConfig.load(path);
-            features = operator == null || operator.isEmpty() ? null : OptionalFeatures.load(operator);
+            config = BalancerConfig.load(configPath);
+            features = operatorFile == null || operatorFile.isEmpty() ? null : OptionalFeatures.load(operatorFile);
         } catch (InvalidConfigException | InvalidFeatureException e) {
-            fail(e.getMessage());
+            throw new StartupFailedException(e.getMessage(), e);
         } catch (NoClassDefFoundError e) { // 'run' has no library of a feature
-            fail(operator + " needs target/lib/features/* on the class path: start with 'bin/sedgeyoke serve'");
+            throw new StartupFailedException(
+                    operatorFile + " needs target/lib/features/* on the class path: start with 'bin/sedgeyoke serve'",
+                    e);
         }
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        BalancerServer server = null;
-        try {
-            server = BalancerServer.onSockets(
-                    loop, config, features == null ? config.bodies() : features.bodies(), inherited());
-        } catch (IllegalArgumentException e) {
-            fail("settings: " + e.getMessage());
-        }
-        BalancerMain main = new BalancerMain(path, server, features);
+        BalancerServer server = createServer(loop, config, features);
+        BalancerMain main = new BalancerMain(configPath, server, features);
         handleReloadSignals(main);
         server.start();
         JitWarmUp.run(config, JitWarmUp.requests(config), JitWarmUp.TIMEOUT_SECONDS);
         // Before the first client can connect: without a hook, SIGTERM would leave accepted requests unanswered.
         Runtime.getRuntime().addShutdownHook(new Thread(main::shutDown));
+        SocketAddress address = bind(server, config);
+        bindAdminEndpoint(server, config);
+        startFeatures(features, loop, server, config);
+        System.err.println(config.name() + " listens on " + address);
+    }
+
+    /** The operator's file that is named by an argument, else by the environment; null or empty if none is. */
+    private static String operatorFile(String[] args) throws StartupFailedException {
+        if (args.length == 2 && args[0].equals("--config")) {
+            return args[1];
+        }
+        if (args.length > 0) {
+            throw new StartupFailedException(USAGE);
+        }
+        return System.getenv("SEDGEYOKE_OPERATOR");
+    }
+
+    private static BalancerServer createServer(EventLoop loop, BalancerConfig config, OptionalFeatures features)
+            throws StartupFailedException {
+        try {
+            BodyLimits bodies = features == null ? config.bodies() : features.bodies();
+            return BalancerServer.onSockets(loop, config, bodies, inherited());
+        } catch (IllegalArgumentException e) {
+            throw new StartupFailedException("settings: " + e.getMessage(), e);
+        }
+    }
+
+    private static SocketAddress bind(BalancerServer server, BalancerConfig config)
+            throws StartupFailedException, InterruptedException {
         ChannelFuture bound = server.bind().await();
         if (!bound.isSuccess()) {
-            fail("cannot listen on " + config.listen() + ": " + bound.cause().getMessage());
+            throw new StartupFailedException(
+                    "cannot listen on " + config.listen() + ": " + bound.cause().getMessage(), bound.cause());
+        }
+        return bound.channel().localAddress();
+    }
+
+    private static void bindAdminEndpoint(BalancerServer server, BalancerConfig config)
+            throws StartupFailedException, InterruptedException {
+        ChannelFuture bound = server.bindAdminEndpoint();
+        if (bound != null && !bound.await().isSuccess()) {
+            throw new StartupFailedException(
+                    "cannot listen for operators on " + config.adminAddress() + ": "
+                            + bound.cause().getMessage(),
+                    bound.cause());
         }
-        ChannelFuture adminEndpoint = server.bindAdminEndpoint();
-        if (adminEndpoint != null && !adminEndpoint.await().isSuccess()) {
-            fail("cannot listen for operators on " + config.adminAddress() + ": "
-                    + adminEndpoint.cause().getMessage());
+    }
+
+    private static void startFeatures(
+            OptionalFeatures features, EventLoop loop, BalancerServer server, BalancerConfig config)
+            throws StartupFailedException {
+        if (features == null) {
+            return;
         }
         try {
-            if (features != null) {
-                features.start(loop, server, config);
-            }
+            features.start(loop, server, config);
         } catch (InvalidFeatureException e) {
-            fail(e.getMessage());
+            throw new StartupFailedException(e.getMessage(), e);
         }
-        System.err.println(config.name() + " listens on " + bound.channel().localAddress());
     }
 
     private static void handleReloadSignals(BalancerMain main) {
@@ -116,7 +163,7 @@
     }
 
     /** The clients' listener if the platform opened it, as file descriptor 0; null if we bind our own. */
-    private static ServerSocketChannel inherited() {
+    private static ServerSocketChannel inherited() throws StartupFailedException {
         String descriptor = System.getenv("BALANCER_ACCEPT_FD");
         if (descriptor == null || descriptor.isEmpty()) {
             return null;
@@ -125,29 +172,31 @@
             if (descriptor.equals("0") && System.inheritedChannel() instanceof ServerSocketChannel listener) {
                 return listener;
             }
-            fail("BALANCER_ACCEPT_FD=" + descriptor + ": no listening socket is there; descriptor 0 is taken");
         } catch (IOException e) {
-            fail("BALANCER_ACCEPT_FD=" + descriptor + ": " + e.getMessage());
+            throw new StartupFailedException("BALANCER_ACCEPT_FD=" + descriptor + ": " + e.getMessage(), e);
         }
-        return null;
+        throw new StartupFailedException(
+                "BALANCER_ACCEPT_FD=" + descriptor + ": no listening socket is there; descriptor 0 is taken");
     }
 
-    private static void fail(String reason) {
-        System.err.println("cannot start: " + reason);
-        System.exit(2);
+    private void shutDown() {
+        server.shutDown(signalDelayMicros());
     }
 
     /**
-     * Shuts down. A reload delays the signal, as both wait for the processor, and the work that it leaves behind delays
-     * it for about as long again; the shutdown takes that into account.
+     * For how long SIGTERM may have been on its way. A reload delays the signal, as both wait for the processor, and
+     * the work that it leaves behind delays it for about as long again.
      */
-    private void shutDown() {
+    private long signalDelayMicros() {
         long nowNanos = System.nanoTime();
         long beganNanos = reloadBeganNanos;
-        boolean delayedByReload = beganNanos != 0
-                && (reloadEndedNanos - beganNanos < 0
-                        || nowNanos - reloadEndedNanos <= 2 * (reloadEndedNanos - beganNanos));
-        server.shutDown(delayedByReload ? Math.min(MAX_SIGNAL_DELAY_MICROS, (nowNanos - beganNanos) / 1_000) : 0);
+        if (beganNanos == 0) {
+            return 0;
+        }
+        long reloadNanos = reloadEndedNanos - beganNanos;
+        boolean inProgress = reloadNanos < 0;
+        boolean delayed = inProgress || nowNanos - (beganNanos + reloadNanos) <= 2 * reloadNanos;
+        return delayed ? Math.min(MAX_SIGNAL_DELAY_MICROS, (nowNanos - beganNanos) / TimeUnits.NANOS_PER_MICRO) : 0;
     }
 
     /**
--- /dev/null
+++ b/src/main/java/sedgeyoke/serve/StartupFailedException.java
@@ -0,0 +1,14 @@
+package sedgeyoke.serve;
+
+/** The balancer cannot start; the message says why and is meant for its operator. */
+final class StartupFailedException extends Exception {
+    private static final long serialVersionUID = 1L;
+
+    StartupFailedException(String reason) {
+        super(reason);
+    }
+
+    StartupFailedException(String reason, Throwable cause) {
+        super(reason, cause);
+    }
+}
