--- a/src/main/java/sedgeyoke/proxy/core/CordonRegistry.java
+++ b/src/main/java/sedgeyoke/proxy/core/CordonRegistry.java
@@ -2,10 +2,12 @@
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
+import java.nio.file.Path;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.policy.LoadBalancingPolicy;
 import sedgeyoke.proxy.common.RateLimitedLog;
+import sedgeyoke.proxy.config.BalancerConfig;
 import sedgeyoke.proxy.cordon.CordonSet;
 import sedgeyoke.proxy.cordon.CordonStore;
 import sedgeyoke.proxy.exchange.PolicyClock;
@@ -28,6 +30,11 @@
     /** The time of each is when this process was notified of it. */
     private CordonSet fleetWide = CordonSet.EMPTY;
 
+    /** A change of the stored cordons; returns whether it was applied. */
+    private interface StoreChange {
+        boolean apply() throws IOException;
+    }
+
     CordonRegistry(
             PolicyClock clock, PolicyEvents events, EndpointTable endpoints, CordonStore local, RateLimitedLog log) {
         this.clock = clock;
@@ -37,6 +44,20 @@
         this.log = log;
     }
 
+    /** The stored cordons of a balancer; they are lost with the process where there is no file for them. */
+    static CordonStore storeOf(BalancerConfig config) {
+        return new CordonStore(cordonFile(config));
+    }
+
+    /** The file that the processes of one balancer share during an upgrade; null where there is no admin endpoint. */
+    private static Path cordonFile(BalancerConfig config) {
+        if (config.adminAddress() == null || config.sharedFolder() == null) {
+            return null;
+        }
+        return config.sharedFolder()
+                .resolve("sedgeyoke-cordons-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
+    }
+
     /** Reads the stored cordons, and again at short intervals as another process may change them. */
     void start(EventLoop loop) {
         refresh(); // before the first client
@@ -54,14 +75,23 @@
         }
     }
 
-    /** Cordons an upstream or ends that; false for an unknown id or where it cannot be stored. */
-    boolean set(String id, boolean cordoned) {
+    /** Cordons an upstream; false for an unknown id or where it cannot be stored. */
+    boolean cordon(String id) {
+        return change(id, () -> local.cordon(id, clock.now()));
+    }
+
+    /** Uncordons an upstream; false for an unknown id or where it cannot be stored. */
+    boolean uncordon(String id) {
+        return change(id, () -> local.uncordon(id));
+    }
+
+    private boolean change(String id, StoreChange change) {
         CordonSet before = local.cordons();
         if (!endpoints.contains(id) && !before.contains(id)) {
             return false;
         }
         try {
-            boolean applied = local.set(id, cordoned, clock.now());
+            boolean applied = change.apply();
             if (!before.equals(local.cordons())) {
                 changed();
             }
