--- a/src/main/java/sedgeyoke/body/BodyBudget.java
+++ b/src/main/java/sedgeyoke/body/BodyBudget.java
@@ -1,24 +1,25 @@
 package sedgeyoke.body;
 
 /**
- * Limits the memory of all streamed bodies together, and records the most that one has used. A streamed body counts as
- * its ceiling, in the direction in which it is sent, from its start to its end. To be used on the event loop.
+ * Limits the memory of all streamed bodies together, and records the most that one has used. From its start to its end
+ * a streamed body counts as {@link BodyLimits#maxBufferedBytes}, in the direction in which it is sent. To be used on
+ * the event loop.
  */
 public final class BodyBudget {
     private final BodyLimits limits;
-    private long reserved;
-    private long rejected;
-    private long largest;
+    private long reservedBytes;
+    private long rejectedRequests;
+    private long peakBytes;
 
-    /** A budget of {@link BodyLimits#total}. */
+    /** A budget of {@link BodyLimits#maxTotalBufferedBytes}. */
     public BodyBudget(BodyLimits limits) {
         this.limits = limits;
     }
 
     /** Reserves room for one more streamed request; false if there is none. To be given back with {@link #release}. */
     public boolean reserve() {
-        if (reserved + limits.ceiling() > limits.total()) {
-            rejected++;
+        if (reservedBytes + limits.maxBufferedBytes() > limits.maxTotalBufferedBytes()) {
+            rejectedRequests++;
             return false;
         }
         reserveUnconditionally();
@@ -31,31 +32,31 @@
      * are.
      */
     public void reserveUnconditionally() {
-        reserved += limits.ceiling();
+        reservedBytes += limits.maxBufferedBytes();
     }
 
-    /** Gives back the room of so many bodies. */
+    /** Gives back the room of {@code bodies} bodies. */
     public void release(int bodies) {
-        reserved -= (long) bodies * limits.ceiling();
+        reservedBytes -= (long) bodies * limits.maxBufferedBytes();
     }
 
     /** Records that so many bytes of one body are buffered in this process. */
     public void recordBuffered(long bytes) {
-        largest = Math.max(largest, bytes);
+        peakBytes = Math.max(peakBytes, bytes);
     }
 
     /** The most bytes that were ever buffered of one body. */
-    public long largest() {
-        return largest;
+    public long peakBytes() {
+        return peakBytes;
     }
 
     /** Bytes that are reserved. */
-    public long reserved() {
-        return reserved;
+    public long reservedBytes() {
+        return reservedBytes;
     }
 
     /** Requests that were rejected for lack of room. */
-    public long rejected() {
-        return rejected;
+    public long rejectedRequests() {
+        return rejectedRequests;
     }
 }
--- a/src/main/java/sedgeyoke/body/PartialRequestPolicy.java
+++ b/src/main/java/sedgeyoke/body/PartialRequestPolicy.java
@@ -13,10 +13,10 @@
 public final class PartialRequestPolicy {
     private PartialRequestPolicy() {}
 
-    /** How much of the body of a request was forwarded. */
-    public enum Body {
+    /** How much of the body of a request was received and forwarded. */
+    public enum BodyProgress {
         /** Nothing is lost: all of it is buffered. */
-        COMPLETE,
+        FULLY_BUFFERED,
         /** The client is still sending, and nothing was forwarded. */
         BUFFERING,
         /** A part was forwarded and is not buffered any more; the last byte was not written. */
@@ -26,9 +26,9 @@
     }
 
     /** How the request continues. */
-    public enum Next {
-        /** The policy decides: another attempt, or the response. */
-        POLICY,
+    public enum NextStep {
+        /** The load balancing policy decides: another attempt, or the response. */
+        POLICY_DECIDES,
         /** It is rejected: a retry is harmless. */
         REJECT,
         /** It fails: a retry may run it twice. */
@@ -37,17 +37,16 @@
         SERVED
     }
 
-    /** How the request continues after the end of an attempt. */
-    public static Next after(Effect effect, Scope scope, Body body, Outcome outcome) {
+    /** How a request of this effect and scope continues after the end of an attempt. */
+    public static NextStep afterAttempt(Effect effect, Scope scope, BodyProgress body, Outcome outcome) {
         if (outcome == Outcome.OK) {
-            return Next.SERVED;
+            return NextStep.SERVED;
         }
-        if (body == Body.COMPLETE || body == Body.BUFFERING) {
-            return Next.POLICY;
+        if (body == BodyProgress.FULLY_BUFFERED || body == BodyProgress.BUFFERING) {
+            return NextStep.POLICY_DECIDES;
         }
         // An upstream runs a request only once it has its last byte, however the attempt ended.
-        boolean neverRan = outcome.neverRan || body == Body.PARTLY_FORWARDED;
-        boolean harmless = effect == Effect.SAFE || effect == Effect.IDEMPOTENT_WITH_KEY && scope == Scope.ALL;
-        return neverRan || harmless ? Next.REJECT : Next.FAIL;
+        boolean neverRan = outcome.neverRan || body == BodyProgress.PARTLY_FORWARDED;
+        return neverRan || effect.isRetryHarmless(scope) ? NextStep.REJECT : NextStep.FAIL;
     }
 }
--- a/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
+++ b/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
@@ -177,7 +177,12 @@
     enum Effect {
         SAFE,
         IDEMPOTENT_WITH_KEY,
-        UNSAFE
+        UNSAFE;
+
+        /** Whether a client may send a request again that may have run; its retry may go to any upstream. */
+        public boolean isRetryHarmless(Scope scope) {
+            return this == SAFE || this == IDEMPOTENT_WITH_KEY && scope == Scope.ALL;
+        }
     }
 
     /** Which upstreams share idempotency keys: all, those of one zone, or those of one cell. */
--- a/src/main/java/sedgeyoke/policy/RetryPolicy.java
+++ b/src/main/java/sedgeyoke/policy/RetryPolicy.java
@@ -88,7 +88,10 @@
         return upstream.endpoint().state() == State.READY && !upstream.plan.draining();
     }
 
-    /** Whether running it there does no harm, as an earlier attempt may have run. */
+    /**
+     * Whether running it there does no harm, as an earlier attempt may have run. The window is the one of
+     * {@code sedgeyoke.proxy.exchange.AttemptProgress#resendDeadlineMicros}, less a margin.
+     */
     private boolean mayRunAgain(RequestState request, UpstreamState upstream, long nowMicros) {
         Attempt earlier = request.firstThatMayHaveRun();
         RequestClass requestClass = request.requestClass;
@@ -111,9 +114,7 @@
 
     /** Whether a final response may tell the client that a retry is harmless. */
     static boolean mayReject(RequestState request) {
-        Effect effect = request.requestClass.effect();
-        return effect == Effect.SAFE
-                || !request.mayHaveRun()
-                || effect == Effect.IDEMPOTENT_WITH_KEY && request.requestClass.scope() == Scope.ALL;
+        RequestClass requestClass = request.requestClass;
+        return !request.mayHaveRun() || requestClass.effect().isRetryHarmless(requestClass.scope());
     }
 }
--- a/src/main/java/sedgeyoke/proxy/client/ClientConnection.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnection.java
@@ -55,9 +55,9 @@
     void addTo(ChannelPipeline pipeline) {
         pipeline.addLast(
                 reader.new PipelineLimiter(),
-                new RequestValidator.Decoder(limits.part()),
+                new RequestValidator.Decoder(limits.maxPartBytes()),
                 new HttpResponseEncoder(),
-                new RequestValidator(admission::validate, limits.longestBody()),
+                new RequestValidator(admission::validate, limits.maxBodyBytes()),
                 this);
     }
 
--- a/src/main/java/sedgeyoke/proxy/client/ClientTimeouts.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientTimeouts.java
@@ -21,7 +21,7 @@
     private final long responseMicros;
 
     ClientTimeouts(BodyLimits limits) {
-        this.responseMicros = limits.longestStill();
+        this.responseMicros = limits.maxStallMicros();
     }
 
     /** Whether a request that is partly received must be rejected. */
--- a/src/main/java/sedgeyoke/proxy/client/HttpFrontend.java
+++ b/src/main/java/sedgeyoke/proxy/client/HttpFrontend.java
@@ -136,7 +136,7 @@
             // Reads until nothing is left: the end of a client that has left comes behind its request.
             channel.config()
                     .setRecvByteBufAllocator(
-                            new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, FIRST_READ_BYTES, limits.read())
+                            new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, FIRST_READ_BYTES, limits.maxReadBytes())
                                     .respectMaybeMoreData(false)
                                     .maxMessagesPerRead(MAX_READS_PER_PASS));
             if (limits.streaming()) {
@@ -250,8 +250,8 @@
     }
 
     /** Bytes that are reserved for streamed bodies. */
-    public long reserved() {
-        return core.budget().reserved();
+    public long reservedBodyBytes() {
+        return core.budget().reservedBytes();
     }
 
     /** Open connections of clients, including those whose last response is being written. */
--- a/src/main/java/sedgeyoke/proxy/client/IncomingRequest.java
+++ b/src/main/java/sedgeyoke/proxy/client/IncomingRequest.java
@@ -64,7 +64,7 @@
 
     /** Whether its body comes more slowly than at its minimum rate; only if {@link #hasMinimumRate}. */
     boolean isBelowMinimumRate(long nowMicros) {
-        return uploadRate.tooSlow(nowMicros);
+        return uploadRate.isTooSlow(nowMicros);
     }
 
     // ---- Reading -------------------------------------------------------------------------------------
@@ -75,7 +75,7 @@
             connection.enter(ClientConnectionState.READING);
         }
         head = validatedHead;
-        body = new RequestBody(this, limits.gathered());
+        body = new RequestBody(this, limits.maxUnstreamedBytes());
         uploadRate = limits.streaming() ? new MinimumTransferRate(limits, core.now()) : null;
         if (HttpUtil.is100ContinueExpected(validatedHead)) {
             channel.writeAndFlush(ClientResponses.proceed());
@@ -92,7 +92,7 @@
             return false;
         }
         if (uploadRate != null) {
-            uploadRate.came(content.content().readableBytes());
+            uploadRate.recordReceived(content.content().readableBytes());
         }
         boolean last = content instanceof LastHttpContent;
         boolean mustStream = body.add(content.content());
@@ -143,7 +143,11 @@
     @Override
     public void read(boolean on) {
         if (uploadRate != null) {
-            uploadRate.reading(on, core.now());
+            if (on) {
+                uploadRate.resumeReading(core.now());
+            } else {
+                uploadRate.pauseReading(core.now());
+            }
         }
         channel.config().setAutoRead(on || body == null);
     }
--- a/src/main/java/sedgeyoke/proxy/common/Transport.java
+++ b/src/main/java/sedgeyoke/proxy/common/Transport.java
@@ -88,10 +88,12 @@
      * sizes of its buffers.
      */
     public static void limitBuffers(Channel channel, BodyLimits limits) {
-        channel.config().setWriteBufferWaterMark(new WriteBufferWaterMark(limits.ceiling() / 8, limits.ceiling() / 4));
-        if (limits.socketBuffer() > 0) {
-            channel.config().setOption(ChannelOption.SO_SNDBUF, limits.socketBuffer());
-            channel.config().setOption(ChannelOption.SO_RCVBUF, limits.socketBuffer());
+        channel.config()
+                .setWriteBufferWaterMark(
+                        new WriteBufferWaterMark(limits.maxBufferedBytes() / 8, limits.maxBufferedBytes() / 4));
+        if (limits.socketBufferBytes() > 0) {
+            channel.config().setOption(ChannelOption.SO_SNDBUF, limits.socketBufferBytes());
+            channel.config().setOption(ChannelOption.SO_RCVBUF, limits.socketBufferBytes());
         }
     }
 
--- a/src/main/java/sedgeyoke/proxy/core/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/core/ProxyCore.java
@@ -281,8 +281,8 @@
     /** Logs how much memory streamed bodies have used, where they are on. */
     public void reportBodies() {
         if (bodies.streaming()) {
-            log.line("bodies: peak of " + budget.largest() + " of " + bodies.ceiling()
-                    + " bytes buffered for one direction of a transfer; " + budget.rejected()
+            log.line("bodies: peak of " + budget.peakBytes() + " of " + bodies.maxBufferedBytes()
+                    + " bytes buffered for one direction of a transfer; " + budget.rejectedRequests()
                     + " rejected because the buffer budget was used up");
         }
     }
--- a/src/main/java/sedgeyoke/proxy/exchange/AttemptProgress.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/AttemptProgress.java
@@ -157,12 +157,12 @@
     private void endIfBodyIsPartial(Attempt attempt, Outcome outcome) {
         Exchange exchange = attempt.exchange;
         LoadBalancingPolicy.RequestClass requestClass = classOf(exchange);
-        PartialRequestPolicy.Next next = PartialRequestPolicy.after(
+        PartialRequestPolicy.NextStep next = PartialRequestPolicy.afterAttempt(
                 requestClass.effect(), requestClass.scope(), exchange.body.state(attempt.written), outcome);
-        if (next == PartialRequestPolicy.Next.REJECT) {
+        if (next == PartialRequestPolicy.NextStep.REJECT) {
             attempt.mayHaveRun = false;
             completion.reject(exchange, RejectionReason.BODY_NOT_REPEATABLE);
-        } else if (next == PartialRequestPolicy.Next.FAIL) {
+        } else if (next == PartialRequestPolicy.NextStep.FAIL) {
             completion.fail(exchange);
         }
     }
@@ -185,8 +185,9 @@
 
     /**
      * Until when a further attempt may go out: upstreams recognise the repeat of an idempotency key only as long as
-     * they remember the first attempt that may have run. The policy checks that when it chooses, with a margin; this is
-     * the limit itself, as a connection may take its time to come up. {@link Long#MAX_VALUE} without a key.
+     * they remember the first attempt that may have run. {@code sedgeyoke.policy.RetryPolicy} keeps to the same window
+     * when it chooses, less a margin; this is the limit itself, as a connection may take its time to come up.
+     * {@link Long#MAX_VALUE} without a key.
      */
     public long resendDeadlineMicros(Exchange exchange) {
         LoadBalancingPolicy.RequestClass requestClass = classOf(exchange);
--- a/src/main/java/sedgeyoke/proxy/exchange/ExchangeDeadlines.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ExchangeDeadlines.java
@@ -50,7 +50,7 @@
     /** Sets the first deadline of an exchange, and its timer. */
     void start(Exchange exchange) {
         // The budget counts from the last byte; until that has arrived, the limits on uploads hold.
-        long uploadMicros = exchange.body.ended() ? 0 : bodies.longestUpload();
+        long uploadMicros = exchange.body.ended() ? 0 : bodies.maxUploadMicros();
         long leftMicros = Math.min(
                 exchange.request.timeLeftMicros()
                         + uploadMicros
--- a/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
@@ -149,11 +149,15 @@
     }
 
     /** How much was forwarded; {@code written} says whether an attempt has written the last byte. */
-    PartialRequestPolicy.Body state(boolean written) {
+    PartialRequestPolicy.BodyProgress state(boolean written) {
         if (forwarding) {
-            return written ? PartialRequestPolicy.Body.FULLY_FORWARDED : PartialRequestPolicy.Body.PARTLY_FORWARDED;
+            return written
+                    ? PartialRequestPolicy.BodyProgress.FULLY_FORWARDED
+                    : PartialRequestPolicy.BodyProgress.PARTLY_FORWARDED;
         }
-        return ended && !streams ? PartialRequestPolicy.Body.COMPLETE : PartialRequestPolicy.Body.BUFFERING;
+        return ended && !streams
+                ? PartialRequestPolicy.BodyProgress.FULLY_BUFFERED
+                : PartialRequestPolicy.BodyProgress.BUFFERING;
     }
 
     /** Streams the body to an attempt: what is buffered, then what is received. To be called once. */
--- a/src/main/java/sedgeyoke/proxy/lifecycle/BalancerServer.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/BalancerServer.java
@@ -126,7 +126,7 @@
 
     /** For tests: the bytes reserved for bodies that are being streamed. Not on the event loop. */
     public long reservedForBodies() {
-        return loop.submit(frontend::reserved).syncUninterruptibly().getNow();
+        return loop.submit(frontend::reservedBodyBytes).syncUninterruptibly().getNow();
     }
 
     /** For tests: the number of open client connections. Not on the event loop. */
--- a/src/main/java/sedgeyoke/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamConnection.java
@@ -45,7 +45,7 @@
         this.context = context;
         this.endpoint = endpoint;
         this.decoder = new UpstreamResponseDecoder(
-                context.maxResponseBytes(), context.bodies().part());
+                context.maxResponseBytes(), context.bodies().maxPartBytes());
         this.receiver = new ResponseReceiver(this, context);
     }
 
@@ -57,7 +57,7 @@
         if (context.bodies().streaming()) {
             created.config()
                     .setRecvByteBufAllocator(new AdaptiveRecvByteBufAllocator(
-                            MIN_READ_BYTES, INITIAL_READ_BYTES, context.bodies().read()));
+                            MIN_READ_BYTES, INITIAL_READ_BYTES, context.bodies().maxReadBytes()));
             Transport.limitBuffers(created, context.bodies());
         }
     }
--- a/src/main/java/sedgeyoke/proxy/upstream/UpstreamContext.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamContext.java
@@ -39,16 +39,16 @@
 
     /** A longer response is an error. */
     long maxResponseBytes() {
-        return bodies.streaming() ? bodies.longestBody() : UpstreamConnectionPool.MAX_RESPONSE_BYTES;
+        return bodies.streaming() ? bodies.maxBodyBytes() : UpstreamConnectionPool.MAX_RESPONSE_BYTES;
     }
 
     /** A longer response is streamed to the client where that is allowed, and an error elsewhere. */
     int maxBufferedBytes() {
-        return bodies.streaming() ? bodies.gathered() : UpstreamConnectionPool.MAX_RESPONSE_BYTES;
+        return bodies.streaming() ? bodies.maxUnstreamedBytes() : UpstreamConnectionPool.MAX_RESPONSE_BYTES;
     }
 
     /** A response that has begun and brings nothing for longer is an error. */
     long maxResponseStallMicros() {
-        return bodies.streaming() ? bodies.longestStill() : MAX_RESPONSE_STALL_MICROS;
+        return bodies.streaming() ? bodies.maxStallMicros() : MAX_RESPONSE_STALL_MICROS;
     }
 }
--- a/src/test/java/sedgeyoke/body/BodyRulesTest.java
+++ b/src/test/java/sedgeyoke/body/BodyRulesTest.java
@@ -26,9 +26,10 @@
         List<String> cells = new ArrayList<>();
         for (Effect effect : Effect.values()) {
             for (Scope scope : Scope.values()) {
-                for (PartialRequestPolicy.Body body : PartialRequestPolicy.Body.values()) {
+                for (PartialRequestPolicy.BodyProgress body : PartialRequestPolicy.BodyProgress.values()) {
                     for (Outcome outcome : Outcome.values()) {
-                        PartialRequestPolicy.Next next = PartialRequestPolicy.after(effect, scope, body, outcome);
+                        PartialRequestPolicy.NextStep next =
+                                PartialRequestPolicy.afterAttempt(effect, scope, body, outcome);
                         assertEquals(
                                 expected(effect, scope, body, outcome),
                                 next,
@@ -42,20 +43,21 @@
         assertEquals(4, Set.copyOf(cells).size(), "each of the four occurs");
     }
 
-    private static PartialRequestPolicy.Next expected(
-            Effect effect, Scope scope, PartialRequestPolicy.Body body, Outcome outcome) {
-        boolean gone =
-                body == PartialRequestPolicy.Body.PARTLY_FORWARDED || body == PartialRequestPolicy.Body.FULLY_FORWARDED;
+    private static PartialRequestPolicy.NextStep expected(
+            Effect effect, Scope scope, PartialRequestPolicy.BodyProgress body, Outcome outcome) {
+        boolean gone = body == PartialRequestPolicy.BodyProgress.PARTLY_FORWARDED
+                || body == PartialRequestPolicy.BodyProgress.FULLY_FORWARDED;
         if (outcome == Outcome.OK) {
-            return PartialRequestPolicy.Next.SERVED;
+            return PartialRequestPolicy.NextStep.SERVED;
         } else if (!gone) {
-            return PartialRequestPolicy.Next.POLICY;
-        } else if (body == PartialRequestPolicy.Body.PARTLY_FORWARDED || PROVES_IT_NEVER_RAN.contains(outcome)) {
-            return PartialRequestPolicy.Next.REJECT;
+            return PartialRequestPolicy.NextStep.POLICY_DECIDES;
+        } else if (body == PartialRequestPolicy.BodyProgress.PARTLY_FORWARDED
+                || PROVES_IT_NEVER_RAN.contains(outcome)) {
+            return PartialRequestPolicy.NextStep.REJECT;
         }
         return effect == Effect.SAFE || effect == Effect.IDEMPOTENT_WITH_KEY && scope == Scope.ALL
-                ? PartialRequestPolicy.Next.REJECT
-                : PartialRequestPolicy.Next.FAIL;
+                ? PartialRequestPolicy.NextStep.REJECT
+                : PartialRequestPolicy.NextStep.FAIL;
     }
 
     @Test
@@ -65,8 +67,8 @@
             assertTrue(budget.reserve());
         }
         assertFalse(budget.reserve());
-        assertEquals(1, budget.rejected());
-        assertEquals(262_144, budget.reserved());
+        assertEquals(1, budget.rejectedRequests());
+        assertEquals(262_144, budget.reservedBytes());
         budget.reserveUnconditionally(); // an answer that turned out to be long counts, room or not
         budget.release(1);
         assertFalse(budget.reserve());
@@ -74,42 +76,42 @@
         assertTrue(budget.reserve());
         budget.recordBuffered(7);
         budget.recordBuffered(3);
-        assertEquals(7, budget.largest());
+        assertEquals(7, budget.peakBytes());
     }
 
     @ParameterizedTest
     @CsvSource({"1000, 1000000, false", "999, 1000000, true", "0, 999999, false", "0, 1000000, true"})
     void anUploadMustReachItsRateInEachWindow(long bytes, long after, boolean slow) {
-        MinimumTransferRate pace = new MinimumTransferRate(LIMITS, 5_000_000);
-        pace.came(bytes);
-        assertEquals(slow, pace.tooSlow(5_000_000 + after));
+        MinimumTransferRate uploadRate = new MinimumTransferRate(LIMITS, 5_000_000);
+        uploadRate.recordReceived(bytes);
+        assertEquals(slow, uploadRate.isTooSlow(5_000_000 + after));
     }
 
     @Test
     void pausedTimeDoesNotCount() {
-        MinimumTransferRate pace = new MinimumTransferRate(LIMITS, 0);
-        pace.came(500);
-        pace.reading(false, 500_000);
-        assertFalse(pace.tooSlow(50_000_000));
-        pace.reading(true, 50_000_000);
-        assertFalse(pace.tooSlow(50_400_000));
-        assertTrue(pace.tooSlow(50_500_000));
+        MinimumTransferRate uploadRate = new MinimumTransferRate(LIMITS, 0);
+        uploadRate.recordReceived(500);
+        uploadRate.pauseReading(500_000);
+        assertFalse(uploadRate.isTooSlow(50_000_000));
+        uploadRate.resumeReading(50_000_000);
+        assertFalse(uploadRate.isTooSlow(50_400_000));
+        assertTrue(uploadRate.isTooSlow(50_500_000));
     }
 
     @Test
     void uploadsHaveATimeLimit() {
-        MinimumTransferRate pace = new MinimumTransferRate(LIMITS, 0);
+        MinimumTransferRate uploadRate = new MinimumTransferRate(LIMITS, 0);
         for (long now = 0; now <= 60_000_000; now += 1_000_000) {
-            assertFalse(pace.tooSlow(now), "at " + now);
-            pace.came(5_000);
+            assertFalse(uploadRate.isTooSlow(now), "at " + now);
+            uploadRate.recordReceived(5_000);
         }
-        assertTrue(pace.tooSlow(60_000_001));
+        assertTrue(uploadRate.isTooSlow(60_000_001));
     }
 
     @Test
     void oneMoreReadFitsBelowTheCeiling() {
-        assertEquals(LIMITS.ceiling(), LIMITS.gathered() + LIMITS.read());
-        assertEquals(32_768, LIMITS.gathered());
-        assertEquals(65_536, BodyLimits.PLATFORM.gathered());
+        assertEquals(LIMITS.maxBufferedBytes(), LIMITS.maxUnstreamedBytes() + LIMITS.maxReadBytes());
+        assertEquals(32_768, LIMITS.maxUnstreamedBytes());
+        assertEquals(65_536, BodyLimits.PLATFORM.maxUnstreamedBytes());
     }
 }
--- a/src/test/java/sedgeyoke/proxy/BodiesTest.java
+++ b/src/test/java/sedgeyoke/proxy/BodiesTest.java
@@ -173,13 +173,13 @@
             if (!uploading) {
                 go.countDown();
             }
-            Loopback.awaitStill(4 * 1024, () -> lb.budget(b -> b.largest())); // nobody reads: all waits on the way
+            Loopback.awaitStill(4 * 1024, () -> lb.budget(b -> b.peakBytes())); // nobody reads: all waits on the way
             go.countDown();
             ScriptedServer.Message got = Loopback.answer(client);
             writer.join();
             assertEquals(200, got.status());
             assertArrayEquals(body, uploading ? arrived.get() : got.raw());
-            long largest = lb.budget(b -> b.largest());
+            long largest = lb.budget(b -> b.peakBytes());
             assertTrue(largest > 4 * 1024 && largest <= 32 * 1024, "buffered " + largest);
         }
     }
--- a/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
+++ b/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
@@ -31,7 +31,7 @@
     private static final int CEILING = 64 * 1024;
     private static final BodyLimits LIMITS =
             new BodyLimits(true, CEILING, 64L << 20, 0, 1_000_000, 30_000_000, 5_000_000, 1L << 40, 0);
-    private static final int READ = LIMITS.read();
+    private static final int READ = LIMITS.maxReadBytes();
     private static final int LONGEST = 400_000;
     private static final Map<String, byte[]> ARRIVED = new ConcurrentHashMap<>();
     private static final Map<String, Answering> ANSWERS = new ConcurrentHashMap<>();
@@ -82,7 +82,7 @@
         private final byte[] all;
         private final List<ByteBuf> made = new ArrayList<>();
         private boolean reading = true;
-        private final RequestBody body = new RequestBody(on -> reading = on, LIMITS.gathered());
+        private final RequestBody body = new RequestBody(on -> reading = on, LIMITS.maxUnstreamedBytes());
         private final Script sink;
         private int at;
         private int next;
