--- a/src/main/java/sedgeyoke/proxy/client/ClientConnection.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnection.java
@@ -177,9 +177,9 @@
      * Begins the next request, or ends the connection. Only now, because responses to a client that does not read must
      * not accumulate.
      */
-    void responseWritten(boolean keep) {
+    void responseWritten(AfterResponse afterResponse) {
         responses.releaseBodies();
-        if (!keep || reader.isReadingBody()) {
+        if (afterResponse == AfterResponse.CLOSE || reader.isReadingBody()) {
             closeOutput();
             return;
         }
--- a/src/main/java/sedgeyoke/proxy/client/ClientResponses.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientResponses.java
@@ -49,7 +49,11 @@
      * @param retryAfterMicros 0 for no Retry-After
      */
     static FullHttpResponse complete(
-            HttpResponseStatus status, String contentType, byte[] body, long retryAfterMicros, boolean keepAlive) {
+            HttpResponseStatus status,
+            String contentType,
+            byte[] body,
+            long retryAfterMicros,
+            AfterResponse afterResponse) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
@@ -59,12 +63,12 @@
         if (retryAfterMicros > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterMicros / MICROS_PER_SECOND);
         }
-        HttpUtil.setKeepAlive(response, keepAlive);
+        HttpUtil.setKeepAlive(response, afterResponse == AfterResponse.KEEP_ALIVE);
         return response;
     }
 
     /** The head of a response whose body is streamed. */
-    static HttpResponse streamed(ResponseStream.Head head, boolean keepAlive) {
+    static HttpResponse streamed(ResponseStream.Head head, AfterResponse afterResponse) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (head.length() >= 0) {
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, head.length());
@@ -74,7 +78,7 @@
         if (head.contentType() != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, head.contentType());
         }
-        HttpUtil.setKeepAlive(response, keepAlive);
+        HttpUtil.setKeepAlive(response, afterResponse == AfterResponse.KEEP_ALIVE);
         return response;
     }
 
--- a/src/main/java/sedgeyoke/proxy/client/HttpFrontend.java
+++ b/src/main/java/sedgeyoke/proxy/client/HttpFrontend.java
@@ -225,18 +225,25 @@
      * Ends the connections on which no request has begun, and lets each further response end its connection. To be
      * called repeatedly: the first call only makes later responses end theirs, and what was received by then is read
      * before the next call.
-     *
-     * @param immediately rejects incomplete requests and closes connections of clients that do not leave
      */
-    public void close(boolean immediately) {
-        if (closing && immediately) {
-            closer.closeAllForShutdown(core.now());
-        } else if (closing) {
+    public void closeIdleConnections() {
+        if (closing) {
             closer.closeIdleForShutdown(core.now());
         }
         closing = true;
     }
 
+    /**
+     * As {@link #closeIdleConnections}; also rejects incomplete requests and closes connections of clients that do not
+     * leave.
+     */
+    public void closeAllConnections() {
+        if (closing) {
+            closer.closeAllForShutdown(core.now());
+        }
+        closing = true;
+    }
+
     /** Whether a connection may stay open after its response. */
     boolean allowsKeepAlive() {
         return !closing && !handedOver && !connections.isCrowded();
--- a/src/main/java/sedgeyoke/proxy/client/IncomingRequest.java
+++ b/src/main/java/sedgeyoke/proxy/client/IncomingRequest.java
@@ -132,24 +132,28 @@
         boolean streaming = complete.streams();
         complete.end();
         if (streaming) {
-            read(true);
+            resumeReading();
         } else {
             responses.expectResponse();
             answeringOnFailure(() -> admission.admit(head, complete, receivedMicros));
         }
     }
 
-    /** A streamed body is read as fast as the upstream takes it; after its end the client's close is awaited. */
+    /** The upstream takes no more for now; after the end of the body reading goes on, as the client may close. */
     @Override
-    public void read(boolean on) {
+    public void pauseReading() {
         if (uploadRate != null) {
-            if (on) {
-                uploadRate.resumeReading(core.now());
-            } else {
-                uploadRate.pauseReading(core.now());
-            }
+            uploadRate.pauseReading(core.now());
         }
-        channel.config().setAutoRead(on || body == null);
+        channel.config().setAutoRead(body == null);
+    }
+
+    @Override
+    public void resumeReading() {
+        if (uploadRate != null) {
+            uploadRate.resumeReading(core.now());
+        }
+        channel.config().setAutoRead(true);
     }
 
     private void answeringOnFailure(Runnable handling) {
--- a/src/main/java/sedgeyoke/proxy/client/ResponseWriter.java
+++ b/src/main/java/sedgeyoke/proxy/client/ResponseWriter.java
@@ -30,8 +30,8 @@
     private Exchange exchange;
     /** From the moment a request is complete or rejected until its response; guards against a second one. */
     private boolean responseDue;
-    /** Whether the client allows another request after the response; see {@link #mayKeepAlive}. */
-    private boolean keepAlive;
+    /** What the client allows after the response; for a streamed one that has begun, what was decided. */
+    private AfterResponse afterResponse = AfterResponse.CLOSE;
     /** Where a streamed response comes from; null once it has ended. */
     private ResponseStream.Source source;
     /** Streamed bodies of this connection, in either direction, that are counted in the budget. */
@@ -55,7 +55,7 @@
 
     /** Says whether the client allows another request after the response. */
     void clientKeepsAlive(boolean allowed) {
-        keepAlive = allowed;
+        afterResponse = allowed ? AfterResponse.KEEP_ALIVE : AfterResponse.CLOSE;
     }
 
     /** Submits a request to the core; its response comes through this object. */
@@ -109,13 +109,13 @@
 
     /** Rejects a request that is invalid or incomplete, with a text for its client; the connection ends with it. */
     void rejectWithText(RejectionReason reason, String text) {
-        keepAlive = false;
+        afterResponse = AfterResponse.CLOSE;
         respond(reason.status(), "text/plain", text.getBytes(StandardCharsets.UTF_8), 0);
     }
 
     /** Rejects a valid request that is not submitted to the core; the connection ends with it. */
     void rejectUnsubmitted(RejectionReason reason, int classIndex) {
-        keepAlive = false;
+        afterResponse = AfterResponse.CLOSE;
         core.countRejected(classIndex);
         rejected(reason, core.defaultRetryAfterMicros());
     }
@@ -123,7 +123,7 @@
     /** Responds to a request that would otherwise get no response, because handling it threw. */
     void failedInternally(Throwable cause) {
         core.log().line("request not handled: " + cause);
-        keepAlive = false;
+        afterResponse = AfterResponse.CLOSE;
         if (exchange != null) {
             core.handlingFailed(exchange);
         } else if (responseDue) {
@@ -138,21 +138,21 @@
             return;
         }
         responseDue = false;
-        boolean keep = mayKeepAlive();
+        AfterResponse decided = decideAfterResponse();
         exchange = null;
         connection.enter(ClientConnectionState.WRITING);
-        writeLast(ClientResponses.complete(status, contentType, body, retryAfterMicros, keep), keep);
+        writeLast(ClientResponses.complete(status, contentType, body, retryAfterMicros, decided), decided);
     }
 
-    /** Whether the connection stays open after the response. */
-    private boolean mayKeepAlive() {
-        return keepAlive && frontend.allowsKeepAlive() && connection.mayReadAnotherRequest();
+    /** Keeps the connection only if the client, the frontend and what was received of the next request allow it. */
+    private AfterResponse decideAfterResponse() {
+        return frontend.allowsKeepAlive() && connection.mayReadAnotherRequest() ? afterResponse : AfterResponse.CLOSE;
     }
 
-    private void writeLast(Object message, boolean keep) {
+    private void writeLast(Object message, AfterResponse decided) {
         channel.writeAndFlush(message).addListener(written -> {
             if (written.isSuccess()) {
-                connection.responseWritten(keep);
+                connection.responseWritten(decided);
             }
         });
     }
@@ -168,9 +168,9 @@
         }
         exchange = null;
         source = from;
-        keepAlive = mayKeepAlive();
+        afterResponse = decideAfterResponse();
         connection.enter(ClientConnectionState.WRITING);
-        channel.write(ClientResponses.streamed(head, keepAlive));
+        channel.write(ClientResponses.streamed(head, afterResponse));
         return this;
     }
 
@@ -188,7 +188,7 @@
     @Override
     public void end(HttpHeaders trailers) {
         source = null;
-        writeLast(ClientResponses.lastContent(trailers), keepAlive);
+        writeLast(ClientResponses.lastContent(trailers), afterResponse);
     }
 
     /** Closes the connection: without the announced length or the last chunk the client sees that a part is missing. */
--- a/src/main/java/sedgeyoke/proxy/exchange/Attempt.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/Attempt.java
@@ -1,6 +1,7 @@
 package sedgeyoke.proxy.exchange;
 
 import io.netty.util.concurrent.Future;
+import sedgeyoke.body.PartialRequestPolicy.BodyProgress;
 
 /**
  * One attempt of an exchange at an upstream. It ends once, whatever happens first; see {@link AttemptListener#ended}.
@@ -89,6 +90,14 @@
         return written;
     }
 
+    /** How much of the body of its request was received and forwarded. */
+    BodyProgress bodyProgress() {
+        if (exchange.body.isForwarding()) {
+            return written ? BodyProgress.FULLY_FORWARDED : BodyProgress.PARTLY_FORWARDED;
+        }
+        return exchange.body.isFullyBuffered() ? BodyProgress.FULLY_BUFFERED : BodyProgress.BUFFERING;
+    }
+
     /** Whether its outcome is known. */
     public boolean ended() {
         return ended;
--- a/src/main/java/sedgeyoke/proxy/exchange/AttemptProgress.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/AttemptProgress.java
@@ -158,7 +158,7 @@
         Exchange exchange = attempt.exchange;
         LoadBalancingPolicy.RequestClass requestClass = classOf(exchange);
         PartialRequestPolicy.NextStep next = PartialRequestPolicy.afterAttempt(
-                requestClass.effect(), requestClass.scope(), exchange.body.state(attempt.written), outcome);
+                requestClass.effect(), requestClass.scope(), attempt.bodyProgress(), outcome);
         if (next == PartialRequestPolicy.NextStep.REJECT) {
             attempt.mayHaveRun = false;
             completion.reject(exchange, RejectionReason.BODY_NOT_REPEATABLE);
--- a/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
@@ -2,7 +2,6 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import sedgeyoke.body.PartialRequestPolicy;
 
 /**
  * The body of a request on its way from a client to an upstream, independent of the protocol. A short body is buffered
@@ -27,8 +26,11 @@
 
     /** The client's side. */
     public interface Source {
-        /** Whether to read more of the body. */
-        void read(boolean on);
+        /** Nothing more is to be read of the body for now; parts that were already read may still be added. */
+        void pauseReading();
+
+        /** More of the body is to be read. */
+        void resumeReading();
     }
 
     /** The upstream's side. */
@@ -67,7 +69,7 @@
         streams = true;
         if (sink == null || paused || !overflow.isEmpty()) {
             bufferOverflow(part);
-            source.read(false);
+            source.pauseReading();
         } else {
             write(part);
         }
@@ -80,7 +82,7 @@
         if (sink.forward(part)) {
             paused = false;
         } else if (paused) {
-            source.read(false);
+            source.pauseReading();
         }
         return !paused;
     }
@@ -148,16 +150,14 @@
         return buffered.bytes();
     }
 
-    /** How much was forwarded; {@code written} says whether an attempt has written the last byte. */
-    PartialRequestPolicy.BodyProgress state(boolean written) {
-        if (forwarding) {
-            return written
-                    ? PartialRequestPolicy.BodyProgress.FULLY_FORWARDED
-                    : PartialRequestPolicy.BodyProgress.PARTLY_FORWARDED;
-        }
-        return ended && !streams
-                ? PartialRequestPolicy.BodyProgress.FULLY_BUFFERED
-                : PartialRequestPolicy.BodyProgress.BUFFERING;
+    /** Whether an attempt was given a part of it, which is not buffered any more. */
+    boolean isForwarding() {
+        return forwarding;
+    }
+
+    /** Whether all of it was received and is buffered, so that any attempt can send it. */
+    boolean isFullyBuffered() {
+        return ended && !streams;
     }
 
     /** Streams the body to an attempt: what is buffered, then what is received. To be called once. */
@@ -181,7 +181,7 @@
         if (ended) {
             finish();
         } else {
-            source.read(true);
+            source.resumeReading();
         }
     }
 
@@ -190,7 +190,7 @@
         if (sink == from) {
             sink = null;
             overflow.release();
-            source.read(true);
+            source.resumeReading();
         }
     }
 }
--- a/src/main/java/sedgeyoke/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/GracefulShutdown.java
@@ -79,8 +79,13 @@
     }
 
     private void closeConnectionsOnceDue(long nowMicros) {
-        if (nowMicros >= deadlines.lastRequestMicros()) {
-            frontend.close(nowMicros >= deadlines.lastResponseMicros());
+        if (nowMicros < deadlines.lastRequestMicros()) {
+            return;
+        }
+        if (nowMicros >= deadlines.lastResponseMicros()) {
+            frontend.closeAllConnections();
+        } else {
+            frontend.closeIdleConnections();
         }
     }
 
--- a/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
+++ b/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
@@ -76,13 +76,13 @@
     }
 
     /** One body on its way, and what its two sides do to it. */
-    private static final class Exchange {
+    private static final class Exchange implements RequestBody.Source {
         private final List<Integer> parts;
         private final Random random;
         private final byte[] all;
         private final List<ByteBuf> made = new ArrayList<>();
         private boolean reading = true;
-        private final RequestBody body = new RequestBody(on -> reading = on, LIMITS.maxUnstreamedBytes());
+        private final RequestBody body = new RequestBody(this, LIMITS.maxUnstreamedBytes());
         private final Script sink;
         private int at;
         private int next;
@@ -97,6 +97,16 @@
             random.nextBytes(all);
         }
 
+        @Override
+        public void pauseReading() {
+            reading = false;
+        }
+
+        @Override
+        public void resumeReading() {
+            reading = true;
+        }
+
         void step() {
             switch (random.nextInt(12)) {
                 case 0, 1, 2, 3, 4 -> read();
