--- a/src/main/java/sedgeyoke/proxy/client/AcceptDelay.java
+++ b/src/main/java/sedgeyoke/proxy/client/AcceptDelay.java
@@ -10,9 +10,9 @@
     private long blockedSinceMicros = NOT_BLOCKED;
 
     /** No connection is accepted at this time. */
-    void blocked(long now) {
+    void acceptingBlocked(long nowMicros) {
         if (blockedSinceMicros == NOT_BLOCKED) {
-            blockedSinceMicros = now;
+            blockedSinceMicros = nowMicros;
         }
     }
 
@@ -22,7 +22,7 @@
     }
 
     /** The longest that a connection which is accepted now can have waited. */
-    long micros(long now) {
-        return blockedSinceMicros == NOT_BLOCKED ? 0 : now - blockedSinceMicros;
+    long maxDelayMicros(long nowMicros) {
+        return blockedSinceMicros == NOT_BLOCKED ? 0 : nowMicros - blockedSinceMicros;
     }
 }
--- a/src/main/java/sedgeyoke/proxy/client/ClientConnection.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnection.java
@@ -103,7 +103,7 @@
     }
 
     /** Whether whatever is still received is discarded. */
-    boolean isOver() {
+    boolean discardsInput() {
         return closed || state == ClientConnectionState.CLOSING;
     }
 
--- a/src/main/java/sedgeyoke/proxy/client/ClientConnectionState.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnectionState.java
@@ -7,7 +7,7 @@
     /** A part of a request has been received. */
     READING,
     /** A request is in flight, or is rejected; its response has not begun. */
-    OPEN,
+    IN_FLIGHT,
     /** A response is being written. */
     WRITING,
     /** The response is written, and the next request may come. */
@@ -17,7 +17,7 @@
 
     /** Whether a request is in flight or its response is being written. */
     boolean isBusy() {
-        return this == OPEN || this == WRITING;
+        return this == IN_FLIGHT || this == WRITING;
     }
 
     /** Whether the transition from this state to {@code next} exists. */
@@ -25,10 +25,10 @@
         switch (this) {
             case NEW:
             case IDLE:
-                return next == READING || next == OPEN || next == CLOSING;
+                return next == READING || next == IN_FLIGHT || next == CLOSING;
             case READING:
-                return next == OPEN;
-            case OPEN:
+                return next == IN_FLIGHT;
+            case IN_FLIGHT:
                 return next == WRITING;
             case WRITING:
                 return next == IDLE || next == CLOSING;
--- a/src/main/java/sedgeyoke/proxy/client/ClientResponses.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientResponses.java
@@ -19,6 +19,9 @@
 
 /** Builds the HTTP messages that are sent to clients. */
 final class ClientResponses {
+    /** Stands for a response without a Retry-After. */
+    static final long NO_RETRY_AFTER = 0;
+
     private static final double MICROS_PER_SECOND = 1e6;
 
     /** Fields that change how a message is read are not allowed in trailers (RFC 9110, section 6.5.1). */
@@ -46,7 +49,7 @@
      * A response with all of its body.
      *
      * @param contentType null for none
-     * @param retryAfterMicros 0 for no Retry-After
+     * @param retryAfterMicros {@link #NO_RETRY_AFTER} for none
      */
     static FullHttpResponse complete(
             HttpResponseStatus status,
@@ -60,7 +63,7 @@
         if (contentType != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
         }
-        if (retryAfterMicros > 0) {
+        if (retryAfterMicros > NO_RETRY_AFTER) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterMicros / MICROS_PER_SECOND);
         }
         HttpUtil.setKeepAlive(response, afterResponse == AfterResponse.KEEP_ALIVE);
--- a/src/main/java/sedgeyoke/proxy/client/HttpFrontend.java
+++ b/src/main/java/sedgeyoke/proxy/client/HttpFrontend.java
@@ -43,11 +43,14 @@
 
     private Channel listener;
     private final AcceptDelay acceptDelay = new AcceptDelay();
+    /** Connections that were accepted so far. */
     private long accepted;
-    /** At the last {@link #backlogEmpty}; the first one must answer false. */
-    private long acceptedBefore = -MAX_ACCEPTED_PER_PASS;
+    /** What {@link #accepted} was at the last {@link #isBacklogEmpty}, which must answer false the first time. */
+    private long acceptedAtLastCheck = -MAX_ACCEPTED_PER_PASS;
 
+    /** Whether health checks fail. */
     private boolean draining;
+    /** Whether each response ends its connection. */
     private boolean closing;
     /** Another process accepts from the same listener, and clients are to go there. */
     private boolean handedOver;
@@ -108,13 +111,13 @@
                     && ctx.channel().config().isAutoRead();
             if (acceptedInPass > 0 && foundNoMore) {
                 failed = false;
-                loop.execute(this::emptiedUnlessFailed); // a failure of this pass is reported after this
+                loop.execute(this::recordEmptyBacklogUnlessFailed); // a failure of this pass is reported after this
             }
             acceptedInPass = 0;
             ctx.fireChannelReadComplete();
         }
 
-        private void emptiedUnlessFailed() {
+        private void recordEmptyBacklogUnlessFailed() {
             if (!failed) {
                 acceptDelay.backlogEmptied();
             }
@@ -124,7 +127,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             failed = true;
             core.log().line("accepting connections fails: " + cause.getMessage());
-            acceptDelay.blocked(core.now());
+            acceptDelay.acceptingBlocked(core.now());
             ctx.fireExceptionCaught(cause);
         }
     }
@@ -151,7 +154,7 @@
     long connectionAccepted() {
         accepted++;
         updateAccepting();
-        return acceptDelay.micros(core.now());
+        return acceptDelay.maxDelayMicros(core.now());
     }
 
     /** Makes room for new connections if need be, and accepts more only where there is room. */
@@ -161,7 +164,7 @@
         }
         boolean hasRoom = connections.mayAccept();
         if (!hasRoom) {
-            acceptDelay.blocked(core.now()); // unlike a listener that another process accepts from
+            acceptDelay.acceptingBlocked(core.now()); // unlike a listener that another process accepts from
         }
         listener.config().setAutoRead(isAccepting() && hasRoom);
     }
@@ -189,7 +192,7 @@
     }
 
     /** Whether health checks succeed. */
-    public boolean takesClients() {
+    public boolean isHealthy() {
         return core.ready() && !draining;
     }
 
@@ -200,7 +203,7 @@
     }
 
     /** Whether other processes may accept from the same listener. */
-    public boolean shared() {
+    public boolean isListenerShared() {
         return inherited != null;
     }
 
@@ -215,9 +218,9 @@
      * Whether fewer connections were accepted since the last call than one pass of the loop may take: then the
      * listener's backlog was empty.
      */
-    public boolean backlogEmpty() {
-        boolean empty = accepted - acceptedBefore < MAX_ACCEPTED_PER_PASS;
-        acceptedBefore = accepted;
+    public boolean isBacklogEmpty() {
+        boolean empty = accepted - acceptedAtLastCheck < MAX_ACCEPTED_PER_PASS;
+        acceptedAtLastCheck = accepted;
         return empty;
     }
 
@@ -262,7 +265,7 @@
     }
 
     /** Open connections of clients, including those whose last response is being written. */
-    public int clients() {
+    public int openConnections() {
         return connections.size();
     }
 }
--- a/src/main/java/sedgeyoke/proxy/client/IncomingRequest.java
+++ b/src/main/java/sedgeyoke/proxy/client/IncomingRequest.java
@@ -25,6 +25,7 @@
     private final RequestAdmission admission;
     private final ResponseWriter responses;
 
+    /** The validated head; null before the first request. */
     private HttpRequest head;
     /** Null once the end of the body was received, or nothing more of it is to be read. */
     private RequestBody body;
@@ -83,10 +84,12 @@
     }
 
     /**
-     * Adds a part of the body, received at {@code receivedMicros}, and takes over its reference. True if thereby the
-     * body has become too long to be buffered, so that the request was forwarded or rejected before its end.
+     * Adds a part of the body, received at {@code receivedMicros}, and takes over its reference.
+     *
+     * @return true if thereby the body has become too long to be buffered, so that the request was handed over before
+     *     its end: it is being forwarded, or was rejected
      */
-    boolean add(HttpContent content, long receivedMicros) {
+    boolean addBodyPart(HttpContent content, long receivedMicros) {
         if (body == null) {
             content.release();
             return false;
@@ -106,9 +109,9 @@
         return mustStream;
     }
 
-    /** As {@link #add}; if that throws, the client gets a response nevertheless. */
-    void addAnsweringOnFailure(HttpContent content, long receivedMicros) {
-        answeringOnFailure(() -> add(content, receivedMicros));
+    /** As {@link #addBodyPart}; if that throws, the client gets a response nevertheless. */
+    void addBodyPartAnsweringOnFailure(HttpContent content, long receivedMicros) {
+        answeringOnFailure(() -> addBodyPart(content, receivedMicros));
     }
 
     /**
--- a/src/main/java/sedgeyoke/proxy/client/RequestAdmission.java
+++ b/src/main/java/sedgeyoke/proxy/client/RequestAdmission.java
@@ -66,7 +66,7 @@
     void admit(HttpRequest head, RequestBody body, long receivedMicros) {
         responses.clientKeepsAlive(HttpUtil.isKeepAlive(head));
         if (RequestParser.isHealthCheck(head)) {
-            responses.health(frontend.takesClients());
+            responses.health(frontend.isHealthy());
             return;
         }
         Request request = validatedRequests.remove();
@@ -86,7 +86,7 @@
                 head.uri(),
                 RequestParser.forwardedHeaders(head.headers()),
                 body,
-                HttpUtil.getContentLength(head, -1L),
+                HttpUtil.getContentLength(head, Exchange.UNKNOWN_LENGTH),
                 core.now() - receivedMicros + (firstRequest ? acceptDelayMicros : 0),
                 firstRequest,
                 responses));
--- a/src/main/java/sedgeyoke/proxy/client/RequestReader.java
+++ b/src/main/java/sedgeyoke/proxy/client/RequestReader.java
@@ -22,14 +22,14 @@
     private final PipelinedRequests pipelined;
     private final RequestAdmission admission;
 
-    /** The end of the request that is being read, until the channel has no more to read for now. */
+    /** The end of the request that is being read, until the channel has no more to read for now; null before it. */
     private LastHttpContent lastContent;
     /** When the last part of a request that was processed had been received. */
     private long receivedMicros;
     /** Whether the channel is in the middle of a read. */
     private boolean readInProgress;
-    /** Whether that read has brought the end of a request, or its rejection. */
-    private boolean requestCompletedInRead;
+    /** Whether that read has brought the end of a request, its rejection, or so much that it is being forwarded. */
+    private boolean requestHandedOverInRead;
 
     RequestReader(
             Channel channel,
@@ -108,7 +108,7 @@
     /** Takes a decoded part of a request, or the rejection of one, and its reference. */
     void received(Object message) {
         readInProgress = true;
-        if (connection.isOver()) {
+        if (connection.discardsInput()) {
             ReferenceCountUtil.release(message);
         } else if (isPipelined()) {
             pipelined.add(message, core.now()); // and reading goes on, or the client's close would not be seen
@@ -120,10 +120,10 @@
 
     /** The channel has no more to read for now. */
     void readCompleted() {
-        if (!requestCompletedInRead) {
+        if (!requestHandedOverInRead) {
             connection.requestIncomplete();
         }
-        requestCompletedInRead = false;
+        requestHandedOverInRead = false;
         readInProgress = false;
         if (lastContent != null) {
             channel.eventLoop().execute(this::processLastContent); // after a close that was received with it
@@ -138,7 +138,7 @@
         LastHttpContent last = lastContent;
         lastContent = null;
         if (last != null && channel.isActive()) {
-            incoming.addAnsweringOnFailure(last, receivedMicros);
+            incoming.addBodyPartAnsweringOnFailure(last, receivedMicros);
         } else {
             ReferenceCountUtil.release(last);
         }
@@ -179,10 +179,10 @@
             incoming.begin(head);
         }
         if (readInProgress && incoming.isReadingBody() && message instanceof LastHttpContent last) {
-            requestCompletedInRead = true;
+            requestHandedOverInRead = true;
             lastContent = last;
-        } else if (message instanceof HttpContent content && incoming.add(content, receivedMicros)) {
-            requestCompletedInRead = readInProgress;
+        } else if (message instanceof HttpContent content && incoming.addBodyPart(content, receivedMicros)) {
+            requestHandedOverInRead = readInProgress;
         }
     }
 
@@ -192,7 +192,7 @@
     void reject(RequestValidator.Rejection rejection) {
         discardLastContent();
         if (!incoming.isStreaming()) {
-            requestCompletedInRead = readInProgress;
+            requestHandedOverInRead = readInProgress;
         }
         incoming.reject(rejection);
     }
--- a/src/main/java/sedgeyoke/proxy/client/ResponseWriter.java
+++ b/src/main/java/sedgeyoke/proxy/client/ResponseWriter.java
@@ -50,7 +50,7 @@
     /** From now on a request is to be responded to. */
     void expectResponse() {
         responseDue = true;
-        connection.enter(ClientConnectionState.OPEN);
+        connection.enter(ClientConnectionState.IN_FLIGHT);
     }
 
     /** Says whether the client allows another request after the response. */
@@ -88,7 +88,7 @@
 
     @Override
     public void complete(String contentType, byte[] body) {
-        respond(HttpResponseStatus.OK, contentType, body, 0);
+        respond(HttpResponseStatus.OK, contentType, body, ClientResponses.NO_RETRY_AFTER);
     }
 
     @Override
@@ -98,19 +98,19 @@
 
     @Override
     public void failed() {
-        respond(HttpResponseStatus.BAD_GATEWAY, null, NO_BODY, 0);
+        respond(HttpResponseStatus.BAD_GATEWAY, null, NO_BODY, ClientResponses.NO_RETRY_AFTER);
     }
 
     /** Responds to a health check. */
     void health(boolean healthy) {
         HttpResponseStatus status = healthy ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
-        respond(status, "text/plain", NO_BODY, 0);
+        respond(status, "text/plain", NO_BODY, ClientResponses.NO_RETRY_AFTER);
     }
 
     /** Rejects a request that is invalid or incomplete, with a text for its client; the connection ends with it. */
     void rejectWithText(RejectionReason reason, String text) {
         afterResponse = AfterResponse.CLOSE;
-        respond(reason.status(), "text/plain", text.getBytes(StandardCharsets.UTF_8), 0);
+        respond(reason.status(), "text/plain", text.getBytes(StandardCharsets.UTF_8), ClientResponses.NO_RETRY_AFTER);
     }
 
     /** Rejects a valid request that is not submitted to the core; the connection ends with it. */
@@ -127,7 +127,7 @@
         if (exchange != null) {
             core.handlingFailed(exchange);
         } else if (responseDue) {
-            respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, null, NO_BODY, 0);
+            respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, null, NO_BODY, ClientResponses.NO_RETRY_AFTER);
         } else {
             channel.close();
         }
--- a/src/main/java/sedgeyoke/proxy/common/RateLimitedLog.java
+++ b/src/main/java/sedgeyoke/proxy/common/RateLimitedLog.java
@@ -11,7 +11,6 @@
 public final class RateLimitedLog {
     private static final int MAX_LINES_PER_SECOND = 20;
     private static final long MICROS_PER_SECOND = 1_000_000;
-    private static final long MICROS_PER_MILLI = 1_000;
 
     private final PrintStream out;
     private final String name;
@@ -58,7 +57,7 @@
     }
 
     private void print(long now, String text) {
-        long millis = now / MICROS_PER_MILLI;
+        long millis = now / Micros.PER_MILLI;
         String fraction = Long.toString(1_000 + millis % 1_000).substring(1);
         out.println(millis / 1_000 + "." + fraction + ' ' + name + text);
     }
--- a/src/main/java/sedgeyoke/proxy/exchange/Attempt.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/Attempt.java
@@ -8,6 +8,8 @@
  * Times are microseconds of the policy's clock.
  */
 public final class Attempt {
+    private static final long NOT_STARTED = 0;
+
     final Exchange exchange;
     /** Its index among the attempts of the exchange. */
     final int number;
@@ -30,8 +32,8 @@
     private boolean deferredUntilRead;
     /** Since when the upstream can have the complete request: the start, or the last byte of a streamed body. */
     long requestCompleteTimeMicros;
-    /** When the first part of a streamed or slow response arrived; 0 for none. */
-    long responseStartTimeMicros;
+    /** When the first part of a streamed or slow response arrived; see {@link #hasResponseStarted}. */
+    long responseStartTimeMicros = NOT_STARTED;
     /** Whether its response is being streamed to the client. */
     boolean responseStreaming;
     /** Whether the upstream may have executed it: true until its outcome proves the opposite. */
@@ -98,6 +100,11 @@
         return exchange.body.isFullyBuffered() ? BodyProgress.FULLY_BUFFERED : BodyProgress.BUFFERING;
     }
 
+    /** Whether the first part of a streamed or slow response has arrived. */
+    boolean hasResponseStarted() {
+        return responseStartTimeMicros != NOT_STARTED;
+    }
+
     /** Whether its outcome is known. */
     public boolean ended() {
         return ended;
--- a/src/main/java/sedgeyoke/proxy/exchange/AttemptProgress.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/AttemptProgress.java
@@ -95,7 +95,7 @@
 
     @Override
     public void responseStarted(Attempt attempt) {
-        if (attempt.responseStartTimeMicros == 0) {
+        if (!attempt.hasResponseStarted()) {
             attempt.responseStartTimeMicros = clock.now();
             notifyTransfer(attempt);
         }
@@ -170,7 +170,7 @@
     private void notifyOutcome(Attempt attempt, Outcome outcome, UpstreamResponse response) {
         Exchange exchange = attempt.exchange;
         // The delay of our own loop is deducted: the policy would take it for load of the upstream and send less.
-        long endMicros = attempt.responseStartTimeMicros > 0 ? attempt.responseStartTimeMicros : clock.now();
+        long endMicros = attempt.hasResponseStarted() ? attempt.responseStartTimeMicros : clock.now();
         long latencyMicros = Math.max(0, endMicros - attempt.requestCompleteTimeMicros - loopDelayMicros());
         LoadBalancingPolicy.AttemptEnd end = new LoadBalancingPolicy.AttemptEnd(
                 exchange.request.id(),
--- a/src/main/java/sedgeyoke/proxy/exchange/Exchange.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/Exchange.java
@@ -9,6 +9,9 @@
 
 /** One client's request, from its arrival to its response and the end of its last attempt. Event loop only. */
 public final class Exchange {
+    /** Stands for a body whose length the head does not say. */
+    public static final long UNKNOWN_LENGTH = -1;
+
     final Request request;
     final HttpMethod method;
     final String uri;
@@ -16,7 +19,7 @@
     final HttpHeaders headers;
 
     final RequestBody body;
-    /** Bytes of the body as its head said; negative if it did not. */
+    /** Bytes of the body as its head said; {@link #UNKNOWN_LENGTH} if it did not. */
     final long contentLength;
 
     final Reply reply;
@@ -106,7 +109,7 @@
         return body;
     }
 
-    /** Bytes of the body as its head said; negative if it did not. */
+    /** Bytes of the body as its head said; {@link #UNKNOWN_LENGTH} if it did not. */
     public long contentLength() {
         return contentLength;
     }
--- a/src/main/java/sedgeyoke/proxy/exchange/ExchangeDeadlines.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ExchangeDeadlines.java
@@ -17,7 +17,7 @@
 
     private final EventLoop loop;
     private final PolicyClock clock;
-    private final BodyLimits bodies;
+    private final BodyLimits bodyLimits;
     private Consumer<Exchange> expiryHandler;
     /** When the last response must be out; limits all deadlines during a graceful shutdown. */
     private long lastResponseMicros = Long.MAX_VALUE;
@@ -25,10 +25,10 @@
     private long lastRequestMicros = Long.MAX_VALUE;
 
     /** Deadlines run on the timers of this event loop. */
-    public ExchangeDeadlines(EventLoop loop, PolicyClock clock, BodyLimits bodies) {
+    public ExchangeDeadlines(EventLoop loop, PolicyClock clock, BodyLimits bodyLimits) {
         this.loop = loop;
         this.clock = clock;
-        this.bodies = bodies;
+        this.bodyLimits = bodyLimits;
     }
 
     /** Must be called once, before the first exchange; the handler runs when a deadline is near. */
@@ -37,9 +37,9 @@
     }
 
     /** Limits the time of all responses, and from when on requests are rejected; both may move with each call. */
-    public void limitTimes(long lastResponse, long lastRequest) {
-        lastResponseMicros = lastResponse;
-        lastRequestMicros = lastRequest;
+    public void limitTimes(long responseLimitMicros, long requestLimitMicros) {
+        lastResponseMicros = responseLimitMicros;
+        lastRequestMicros = requestLimitMicros;
     }
 
     /** Whether a graceful shutdown leaves no time for further requests. */
@@ -50,7 +50,7 @@
     /** Sets the first deadline of an exchange, and its timer. */
     void start(Exchange exchange) {
         // The budget counts from the last byte; until that has arrived, the limits on uploads hold.
-        long uploadMicros = exchange.body.ended() ? 0 : bodies.maxUploadMicros();
+        long uploadMicros = exchange.body.ended() ? 0 : bodyLimits.maxUploadMicros();
         long leftMicros = Math.min(
                 exchange.request.timeLeftMicros()
                         + uploadMicros
--- a/src/main/java/sedgeyoke/proxy/exchange/PolicyClock.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/PolicyClock.java
@@ -1,11 +1,15 @@
 package sedgeyoke.proxy.exchange;
 
+import sedgeyoke.proxy.common.Micros;
+
 /**
  * The policy's clock, and how late the event loop runs its timers. Times are microseconds; the clock is the wall clock
  * at the start, advanced by the monotonic clock. Event loop only, but for {@link #now}.
  */
 public final class PolicyClock {
-    private final long startMicros = System.currentTimeMillis() * 1_000;
+    private static final long NANOS_PER_MICRO = 1_000;
+
+    private final long startMicros = System.currentTimeMillis() * Micros.PER_MILLI;
     private final long startNanos = System.nanoTime();
     /** When the timer that the policy set last is due; it always has one. */
     private long timerDueMicros = Long.MAX_VALUE;
@@ -16,7 +20,7 @@
 
     /** Microseconds: the wall clock at the start, advanced by the monotonic clock. */
     public long now() {
-        return startMicros + (System.nanoTime() - startNanos) / 1_000;
+        return startMicros + (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
     }
 
     long sinceStartMicros() {
--- a/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
@@ -14,14 +14,20 @@
     private final int maxBuffered;
     private final BodyAccumulator buffered;
     private final ReadOverflowBuffer overflow = new ReadOverflowBuffer();
+    /** Whether the last byte was received. */
     private boolean ended;
+    /** Whether the body is too long to be buffered. */
     private boolean streams;
+    /** Whether an attempt was given a part of it, even if that attempt has ended. */
     private boolean forwarding;
+    /** Whether the rest will not be received. */
     private boolean aborted;
+    /** Whether the sink has got all of it. */
     private boolean finished;
     /** Whether the sink has asked for a pause. */
     private boolean paused;
 
+    /** The attempt that it is streamed to; null before that, and once the body or the attempt has ended early. */
     private Sink sink;
 
     /** The client's side. */
--- a/src/main/java/sedgeyoke/proxy/lifecycle/BalancerServer.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/BalancerServer.java
@@ -90,7 +90,7 @@
     private final class Operations implements AdminServer.Operations {
         @Override
         public boolean healthy() {
-            return frontend.takesClients();
+            return frontend.isHealthy();
         }
 
         @Override
@@ -131,7 +131,7 @@
 
     /** For tests: the number of open client connections. Not on the event loop. */
     public int clients() {
-        return loop.submit(frontend::clients).syncUninterruptibly().getNow();
+        return loop.submit(frontend::openConnections).syncUninterruptibly().getNow();
     }
 
     /** Shuts down where nothing can have delayed the signal; see {@link #shutDown(long)}. */
--- a/src/main/java/sedgeyoke/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/GracefulShutdown.java
@@ -49,7 +49,7 @@
 
     void start() {
         frontend.drain();
-        if (frontend.shared()) {
+        if (frontend.isListenerShared()) {
             frontend.handOver(); // connections in the backlog are accepted by the other process
         }
         check();
@@ -71,8 +71,8 @@
     /** If the loop is late there may be more to accept than one pass takes, and closing would reset that. */
     private void stopListeningOnceDue(long nowMicros, long delayMicros) {
         if (nowMicros >= deadlines.listenUntilMicros()
-                && !frontend.shared()
-                && frontend.backlogEmpty()
+                && !frontend.isListenerShared()
+                && frontend.isBacklogEmpty()
                 && delayMicros <= CHECK_INTERVAL_MICROS) {
             frontend.stopListening();
         }
@@ -96,7 +96,7 @@
     }
 
     private void completeOnceIdle(long nowMicros) {
-        boolean idle = core.idle() && frontend.clients() == 0;
+        boolean idle = core.idle() && frontend.openConnections() == 0;
         if (nowMicros >= deadlines.listenUntilMicros() && idle && completed.getCount() > 0) {
             core.reportBodies();
             completed.countDown();
