--- a/src/main/java/sedgeyoke/proxy/client/ClientConnection.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnection.java
@@ -55,9 +55,9 @@
     void addTo(ChannelPipeline pipeline) {
         pipeline.addLast(
                 reader.new PipelineLimiter(),
-                new RequestValidator.Decoder(limits.part()),
+                new RequestValidator.Decoder(limits.maxPartBytes()),
                 new HttpResponseEncoder(),
-                new RequestValidator(admission::validate, limits.longestBody()),
+                new RequestValidator(admission::validate, limits.maxBodyBytes()),
                 this);
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** Whether whatever is still received is discarded. */
-    boolean isOver() {
+    boolean discardsInput() {
         return closed || state == ClientConnectionState.CLOSING;
     }
 
@@ -177,9 +177,9 @@
      * Begins the next request, or ends the connection. Only now, because responses to a client that does not read must
      * not accumulate.
      */
-    void responseWritten(boolean keep) {
+    void responseWritten(AfterResponse afterResponse) {
         responses.releaseBodies();
-        if (!keep || reader.isReadingBody()) {
+        if (afterResponse == AfterResponse.CLOSE || reader.isReadingBody()) {
             closeOutput();
             return;
         }
--- a/src/main/java/sedgeyoke/proxy/client/ClientResponses.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientResponses.java
@@ -19,6 +19,9 @@
 
 /** Builds the HTTP messages that are sent to clients. */
 final class ClientResponses {
+    /** Stands for a response without a Retry-After. */
+    static final long NO_RETRY_AFTER = 0;
+
     private static final double MICROS_PER_SECOND = 1e6;
 
     /** Fields that change how a message is read are not allowed in trailers (RFC 9110, section 6.5.1). */
@@ -46,25 +49,29 @@
      * A response with all of its body.
      *
      * @param contentType null for none
-     * @param retryAfterMicros 0 for no Retry-After
+     * @param retryAfterMicros {@link #NO_RETRY_AFTER} for none
      */
     static FullHttpResponse complete(
-            HttpResponseStatus status, String contentType, byte[] body, long retryAfterMicros, boolean keepAlive) {
+            HttpResponseStatus status,
+            String contentType,
+            byte[] body,
+            long retryAfterMicros,
+            AfterResponse afterResponse) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         if (contentType != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
         }
-        if (retryAfterMicros > 0) {
+        if (retryAfterMicros > NO_RETRY_AFTER) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterMicros / MICROS_PER_SECOND);
         }
-        HttpUtil.setKeepAlive(response, keepAlive);
+        HttpUtil.setKeepAlive(response, afterResponse == AfterResponse.KEEP_ALIVE);
         return response;
     }
 
     /** The head of a response whose body is streamed. */
-    static HttpResponse streamed(ResponseStream.Head head, boolean keepAlive) {
+    static HttpResponse streamed(ResponseStream.Head head, AfterResponse afterResponse) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (head.length() >= 0) {
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, head.length());
@@ -74,7 +81,7 @@
         if (head.contentType() != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, head.contentType());
         }
-        HttpUtil.setKeepAlive(response, keepAlive);
+        HttpUtil.setKeepAlive(response, afterResponse == AfterResponse.KEEP_ALIVE);
         return response;
     }
 
--- a/src/main/java/sedgeyoke/proxy/client/IncomingRequest.java
+++ b/src/main/java/sedgeyoke/proxy/client/IncomingRequest.java
@@ -25,6 +25,7 @@
     private final RequestAdmission admission;
     private final ResponseWriter responses;
 
+    /** The validated head; null before the first request. */
     private HttpRequest head;
     /** Null once the end of the body was received, or nothing more of it is to be read. */
     private RequestBody body;
@@ -64,7 +65,7 @@
 
     /** Whether its body comes more slowly than at its minimum rate; only if {@link #hasMinimumRate}. */
     boolean isBelowMinimumRate(long nowMicros) {
-        return uploadRate.tooSlow(nowMicros);
+        return uploadRate.isTooSlow(nowMicros);
     }
 
     // ---- Reading -------------------------------------------------------------------------------------
@@ -75,7 +76,7 @@
             connection.enter(ClientConnectionState.READING);
         }
         head = validatedHead;
-        body = new RequestBody(this, limits.gathered());
+        body = new RequestBody(this, limits.maxUnstreamedBytes());
         uploadRate = limits.streaming() ? new MinimumTransferRate(limits, core.now()) : null;
         if (HttpUtil.is100ContinueExpected(validatedHead)) {
             channel.writeAndFlush(ClientResponses.proceed());
@@ -83,16 +84,18 @@
     }
 
     /**
-     * Adds a part of the body, received at {@code receivedMicros}, and takes over its reference. True if thereby the
-     * body has become too long to be buffered, so that the request was forwarded or rejected before its end.
+     * Adds a part of the body, received at {@code receivedMicros}, and takes over its reference.
+     *
+     * @return true if thereby the body has become too long to be buffered, so that the request was handed over before
+     *     its end: it is being forwarded, or was rejected
      */
-    boolean add(HttpContent content, long receivedMicros) {
+    boolean addBodyPart(HttpContent content, long receivedMicros) {
         if (body == null) {
             content.release();
             return false;
         }
         if (uploadRate != null) {
-            uploadRate.came(content.content().readableBytes());
+            uploadRate.recordReceived(content.content().readableBytes());
         }
         boolean last = content instanceof LastHttpContent;
         boolean mustStream = body.add(content.content());
@@ -106,9 +109,9 @@
         return mustStream;
     }
 
-    /** As {@link #add}; if that throws, the client gets a response nevertheless. */
-    void addAnsweringOnFailure(HttpContent content, long receivedMicros) {
-        answeringOnFailure(() -> add(content, receivedMicros));
+    /** As {@link #addBodyPart}; if that throws, the client gets a response nevertheless. */
+    void addBodyPartAnsweringOnFailure(HttpContent content, long receivedMicros) {
+        answeringOnFailure(() -> addBodyPart(content, receivedMicros));
     }
 
     /**
@@ -132,20 +135,28 @@
         boolean streaming = complete.streams();
         complete.end();
         if (streaming) {
-            read(true);
+            resumeReading();
         } else {
             responses.expectResponse();
             answeringOnFailure(() -> admission.admit(head, complete, receivedMicros));
         }
     }
 
-    /** A streamed body is read as fast as the upstream takes it; after its end the client's close is awaited. */
+    /** The upstream takes no more for now; after the end of the body reading goes on, as the client may close. */
     @Override
-    public void read(boolean on) {
+    public void pauseReading() {
         if (uploadRate != null) {
-            uploadRate.reading(on, core.now());
+            uploadRate.pauseReading(core.now());
         }
-        channel.config().setAutoRead(on || body == null);
+        channel.config().setAutoRead(body == null);
+    }
+
+    @Override
+    public void resumeReading() {
+        if (uploadRate != null) {
+            uploadRate.resumeReading(core.now());
+        }
+        channel.config().setAutoRead(true);
     }
 
     private void answeringOnFailure(Runnable handling) {
--- a/src/main/java/sedgeyoke/proxy/exchange/Attempt.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/Attempt.java
@@ -1,12 +1,15 @@
 package sedgeyoke.proxy.exchange;
 
 import io.netty.util.concurrent.Future;
+import sedgeyoke.body.PartialRequestPolicy.BodyProgress;
 
 /**
  * One attempt of an exchange at an upstream. It ends once, whatever happens first; see {@link AttemptListener#ended}.
  * Times are microseconds of the policy's clock.
  */
 public final class Attempt {
+    private static final long NOT_STARTED = 0;
+
     final Exchange exchange;
     /** Its index among the attempts of the exchange. */
     final int number;
@@ -29,8 +32,8 @@
     private boolean deferredUntilRead;
     /** Since when the upstream can have the complete request: the start, or the last byte of a streamed body. */
     long requestCompleteTimeMicros;
-    /** When the first part of a streamed or slow response arrived; 0 for none. */
-    long responseStartTimeMicros;
+    /** When the first part of a streamed or slow response arrived; see {@link #hasResponseStarted}. */
+    long responseStartTimeMicros = NOT_STARTED;
     /** Whether its response is being streamed to the client. */
     boolean responseStreaming;
     /** Whether the upstream may have executed it: true until its outcome proves the opposite. */
@@ -89,6 +92,19 @@
         return written;
     }
 
+    /** How much of the body of its request was received and forwarded. */
+    BodyProgress bodyProgress() {
+        if (exchange.body.isForwarding()) {
+            return written ? BodyProgress.FULLY_FORWARDED : BodyProgress.PARTLY_FORWARDED;
+        }
+        return exchange.body.isFullyBuffered() ? BodyProgress.FULLY_BUFFERED : BodyProgress.BUFFERING;
+    }
+
+    /** Whether the first part of a streamed or slow response has arrived. */
+    boolean hasResponseStarted() {
+        return responseStartTimeMicros != NOT_STARTED;
+    }
+
     /** Whether its outcome is known. */
     public boolean ended() {
         return ended;
--- a/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
@@ -2,7 +2,6 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import sedgeyoke.body.PartialRequestPolicy;
 
 /**
  * The body of a request on its way from a client to an upstream, independent of the protocol. A short body is buffered
@@ -15,20 +14,29 @@
     private final int maxBuffered;
     private final BodyAccumulator buffered;
     private final ReadOverflowBuffer overflow = new ReadOverflowBuffer();
+    /** Whether the last byte was received. */
     private boolean ended;
+    /** Whether the body is too long to be buffered. */
     private boolean streams;
+    /** Whether an attempt was given a part of it, even if that attempt has ended. */
     private boolean forwarding;
+    /** Whether the rest will not be received. */
     private boolean aborted;
+    /** Whether the sink has got all of it. */
     private boolean finished;
     /** Whether the sink has asked for a pause. */
     private boolean paused;
 
+    /** The attempt that it is streamed to; null before that, and once the body or the attempt has ended early. */
     private Sink sink;
 
     /** The client's side. */
     public interface Source {
-        /** Whether to read more of the body. */
-        void read(boolean on);
+        /** Nothing more is to be read of the body for now; parts that were already read may still be added. */
+        void pauseReading();
+
+        /** More of the body is to be read. */
+        void resumeReading();
     }
 
     /** The upstream's side. */
@@ -67,7 +75,7 @@
         streams = true;
         if (sink == null || paused || !overflow.isEmpty()) {
             bufferOverflow(part);
-            source.read(false);
+            source.pauseReading();
         } else {
             write(part);
         }
@@ -80,7 +88,7 @@
         if (sink.forward(part)) {
             paused = false;
         } else if (paused) {
-            source.read(false);
+            source.pauseReading();
         }
         return !paused;
     }
@@ -148,12 +156,14 @@
         return buffered.bytes();
     }
 
-    /** How much was forwarded; {@code written} says whether an attempt has written the last byte. */
-    PartialRequestPolicy.Body state(boolean written) {
-        if (forwarding) {
-            return written ? PartialRequestPolicy.Body.FULLY_FORWARDED : PartialRequestPolicy.Body.PARTLY_FORWARDED;
-        }
-        return ended && !streams ? PartialRequestPolicy.Body.COMPLETE : PartialRequestPolicy.Body.BUFFERING;
+    /** Whether an attempt was given a part of it, which is not buffered any more. */
+    boolean isForwarding() {
+        return forwarding;
+    }
+
+    /** Whether all of it was received and is buffered, so that any attempt can send it. */
+    boolean isFullyBuffered() {
+        return ended && !streams;
     }
 
     /** Streams the body to an attempt: what is buffered, then what is received. To be called once. */
@@ -177,7 +187,7 @@
         if (ended) {
             finish();
         } else {
-            source.read(true);
+            source.resumeReading();
         }
     }
 
@@ -186,7 +196,7 @@
         if (sink == from) {
             sink = null;
             overflow.release();
-            source.read(true);
+            source.resumeReading();
         }
     }
 }
--- a/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
+++ b/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
@@ -31,7 +31,7 @@
     private static final int CEILING = 64 * 1024;
     private static final BodyLimits LIMITS =
             new BodyLimits(true, CEILING, 64L << 20, 0, 1_000_000, 30_000_000, 5_000_000, 1L << 40, 0);
-    private static final int READ = LIMITS.read();
+    private static final int READ = LIMITS.maxReadBytes();
     private static final int LONGEST = 400_000;
     private static final Map<String, byte[]> ARRIVED = new ConcurrentHashMap<>();
     private static final Map<String, Answering> ANSWERS = new ConcurrentHashMap<>();
@@ -76,13 +76,13 @@
     }
 
     /** One body on its way, and what its two sides do to it. */
-    private static final class Exchange {
+    private static final class Exchange implements RequestBody.Source {
         private final List<Integer> parts;
         private final Random random;
         private final byte[] all;
         private final List<ByteBuf> made = new ArrayList<>();
         private boolean reading = true;
-        private final RequestBody body = new RequestBody(on -> reading = on, LIMITS.gathered());
+        private final RequestBody body = new RequestBody(this, LIMITS.maxUnstreamedBytes());
         private final Script sink;
         private int at;
         private int next;
@@ -97,6 +97,16 @@
             random.nextBytes(all);
         }
 
+        @Override
+        public void pauseReading() {
+            reading = false;
+        }
+
+        @Override
+        public void resumeReading() {
+            reading = true;
+        }
+
         void step() {
             switch (random.nextInt(12)) {
                 case 0, 1, 2, 3, 4 -> read();
