--- a/src/main/java/sedgeyoke/drill/soak/SoakBalancer.java
+++ b/src/main/java/sedgeyoke/drill/soak/SoakBalancer.java
@@ -1,6 +1,7 @@
 package sedgeyoke.drill.soak;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -119,7 +120,7 @@
     }
 
     private boolean listens() {
-        try (Socket socket = new Socket("127.0.0.1", port)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             return socket.isConnected();
         } catch (IOException e) {
             return false;
--- a/src/main/java/sedgeyoke/experiment/DraftEvaluator.java
+++ b/src/main/java/sedgeyoke/experiment/DraftEvaluator.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Future;
-import sedgeyoke.simulation.Outcome;
 import sedgeyoke.simulation.Scenario;
 import sedgeyoke.simulation.Simulation;
+import sedgeyoke.simulation.SimulationResult;
 
 /** Runs drafts in parallel to find out how badly the variant does in each. */
 final class DraftEvaluator implements AutoCloseable {
@@ -58,7 +58,7 @@
                 ExperimentFile.parse(name, draft.toToml()).points().get(0).variants();
         double loss = 0;
         for (int i = 0; i < SEEDS_PER_DRAFT; i++) {
-            Outcome outcome = run(variants.get(space.variant()), i);
+            SimulationResult outcome = run(variants.get(space.variant()), i);
             if (outcome.totalViolations() > 0) {
                 return Severity.ofViolations(outcome.totalViolations());
             }
@@ -69,7 +69,7 @@
         return Severity.ofLoss(loss / SEEDS_PER_DRAFT);
     }
 
-    private Outcome run(Scenario scenario, int repetition) {
+    private SimulationResult run(Scenario scenario, int repetition) {
         return new Simulation(scenario, firstSeed + repetition).run();
     }
 
--- a/src/main/java/sedgeyoke/experiment/Run.java
+++ b/src/main/java/sedgeyoke/experiment/Run.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sedgeyoke.simulation.Outcome;
+import sedgeyoke.simulation.SimulationResult;
 
 /**
  * One finished run, as a line of {@code runs.jsonl} has it; component names are that file's keys. All figures and the
@@ -58,7 +58,11 @@
 
     /** Creates the line of a run that has ended; the utilisation of each upstream is large, and optional. */
     static Run of(
-            ExperimentFile file, ExperimentFile.Point point, String variant, Outcome outcome, boolean withUpstreams) {
+            ExperimentFile file,
+            ExperimentFile.Point point,
+            String variant,
+            SimulationResult outcome,
+            boolean withUpstreams) {
         return new Run(
                 SCHEMA,
                 file.name(),
@@ -87,7 +91,7 @@
                 outcome.violationMessages());
     }
 
-    private static Map<String, List<Double>> roundedUtilisation(Outcome outcome) {
+    private static Map<String, List<Double>> roundedUtilisation(SimulationResult outcome) {
         Map<String, List<Double>> rounded = new LinkedHashMap<>();
         outcome.upstreamUtilisation()
                 .forEach((id, row) -> rounded.put(
--- a/src/main/java/sedgeyoke/policy/AttemptSender.java
+++ b/src/main/java/sedgeyoke/policy/AttemptSender.java
@@ -28,7 +28,7 @@
     void send(RequestState request, UpstreamState upstream, long nowMicros) {
         queue.remove(request);
         outliers.attemptStarting(upstream, nowMicros);
-        Attempt attempt = new Attempt(upstream, nowMicros);
+        AttemptState attempt = new AttemptState(upstream, nowMicros);
         request.begin(attempt);
         upstream.inFlight.begin(attempt, request.cost);
         attempt.sentAtLimit = limits.isAtLimit(upstream, nowMicros);
--- a/src/main/java/sedgeyoke/policy/Attempt.java
+++ b/src/main/java/sedgeyoke/policy/AttemptState.java
@@ -1,7 +1,7 @@
 package sedgeyoke.policy;
 
 /** One attempt of a request at one upstream. */
-final class Attempt {
+final class AttemptState {
     final UpstreamState upstream;
     final long sentAtMicros;
     /** Whether it took the last of its upstream's in-flight limit, which may grow only then. */
@@ -14,7 +14,7 @@
     boolean streaming;
     boolean transfer;
 
-    Attempt(UpstreamState upstream, long sentAtMicros) {
+    AttemptState(UpstreamState upstream, long sentAtMicros) {
         this.upstream = upstream;
         this.sentAtMicros = sentAtMicros;
     }
--- a/src/main/java/sedgeyoke/policy/ConcurrencyLimits.java
+++ b/src/main/java/sedgeyoke/policy/ConcurrencyLimits.java
@@ -104,7 +104,7 @@
     }
 
     /** Takes in the duration of a successful response. */
-    void recordSuccess(RequestState request, Attempt attempt, double durationMicros, long nowMicros) {
+    void recordSuccess(RequestState request, AttemptState attempt, double durationMicros, long nowMicros) {
         UpstreamState upstream = attempt.upstream;
         double waitedMicros = waitingTime(upstream, request, durationMicros, nowMicros);
         // With idle cores, a long response was long work.
@@ -114,7 +114,7 @@
     }
 
     /** Takes in an attempt without a response: all its time counts as waiting, as the work may still run. */
-    void recordNoResponse(RequestState request, Attempt attempt, long durationMicros, long nowMicros) {
+    void recordNoResponse(RequestState request, AttemptState attempt, long durationMicros, long nowMicros) {
         State state = attempt.upstream.concurrency;
         double workMicros = request.hasWorkHint() ? request.cost * state.leastServiceTimeMicros : 0;
         adjust(request, attempt, durationMicros - workMicros, nowMicros);
@@ -140,7 +140,7 @@
     }
 
     /** A round of attempts decreases the limit once at most. */
-    private void adjust(RequestState request, Attempt attempt, double waitedMicros, long nowMicros) {
+    private void adjust(RequestState request, AttemptState attempt, double waitedMicros, long nowMicros) {
         State state = attempt.upstream.concurrency;
         double target = WAIT_TARGET_SHARE * request.requestClass.latencyObjectiveMicros();
         if (waitedMicros > target) {
--- a/src/main/java/sedgeyoke/policy/InFlightLoad.java
+++ b/src/main/java/sedgeyoke/policy/InFlightLoad.java
@@ -12,30 +12,30 @@
     private long attemptsSent;
 
     /** Counts an attempt that was sent; {@code cost} is that of its request. */
-    void begin(Attempt attempt, double cost) {
+    void begin(AttemptState attempt, double cost) {
         attemptsSent++;
         count(attempt, cost, 1);
     }
 
     /** Takes off an attempt that ended. */
-    void end(Attempt attempt, double cost) {
+    void end(AttemptState attempt, double cost) {
         count(attempt, cost, -1);
     }
 
     /** Counts an attempt as a transfer from now on. */
-    void becomeTransfer(Attempt attempt, double cost) {
+    void becomeTransfer(AttemptState attempt, double cost) {
         count(attempt, cost, -1);
         attempt.transfer = true;
         count(attempt, cost, 1);
     }
 
     /** Counts a response that is being streamed. */
-    void beginStream(Attempt attempt) {
+    void beginStream(AttemptState attempt) {
         attempt.streaming = true;
         openStreams++;
     }
 
-    private void count(Attempt attempt, double cost, int sign) {
+    private void count(AttemptState attempt, double cost, int sign) {
         if (attempt.transfer) {
             transfers += sign;
             return;
--- a/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
+++ b/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
@@ -182,7 +182,7 @@
 
         /** Whether a client may send a request again that may have run; its retry may go to any upstream. */
         public boolean isRetryHarmless(Scope scope) {
-            return this == SAFE || this == IDEMPOTENT_WITH_KEY && scope == Scope.ALL;
+            return this == SAFE || (this == IDEMPOTENT_WITH_KEY && scope == Scope.ALL);
         }
     }
 
--- a/src/main/java/sedgeyoke/policy/OutcomeRecorder.java
+++ b/src/main/java/sedgeyoke/policy/OutcomeRecorder.java
@@ -18,7 +18,7 @@
         this.reports = reports;
     }
 
-    void record(RequestState request, Attempt attempt, AttemptEnd end, long nowMicros) {
+    void record(RequestState request, AttemptState attempt, AttemptEnd end, long nowMicros) {
         switch (end.outcome()) {
             case OK -> recordSuccess(request, attempt, (double) end.durationMicros(), nowMicros);
             case TIMEOUT, CANCELLED -> recordNoResponse(request, attempt, end.durationMicros(), nowMicros);
@@ -29,7 +29,7 @@
         }
     }
 
-    private void recordSuccess(RequestState request, Attempt attempt, double durationMicros, long nowMicros) {
+    private void recordSuccess(RequestState request, AttemptState attempt, double durationMicros, long nowMicros) {
         outliers.recordSuccess(attempt.upstream, nowMicros);
         // Of a body that came in parts, buffers took as much of the time as the upstream.
         if (!request.request.bodyPending()) {
@@ -38,7 +38,7 @@
         }
     }
 
-    private void recordNoResponse(RequestState request, Attempt attempt, long durationMicros, long nowMicros) {
+    private void recordNoResponse(RequestState request, AttemptState attempt, long durationMicros, long nowMicros) {
         if (!request.request.bodyPending()) {
             limits.recordNoResponse(request, attempt, durationMicros, nowMicros);
             reports.recordNoResponse(attempt.upstream, durationMicros, nowMicros);
@@ -46,7 +46,7 @@
     }
 
     /** An upstream that has responded since the attempt was sent is up, and only out of connections. */
-    private void recordConnectFailure(Attempt attempt, long nowMicros) {
+    private void recordConnectFailure(AttemptState attempt, long nowMicros) {
         if (outliers.hasRespondedSince(attempt)) {
             limits.recordConnectionRefused(attempt.upstream);
         } else {
@@ -54,7 +54,7 @@
         }
     }
 
-    private void recordError(Attempt attempt, Outcome outcome, long nowMicros) {
+    private void recordError(AttemptState attempt, Outcome outcome, long nowMicros) {
         outliers.recordError(attempt.upstream, outcome, nowMicros);
     }
 }
--- a/src/main/java/sedgeyoke/policy/OutlierDetection.java
+++ b/src/main/java/sedgeyoke/policy/OutlierDetection.java
@@ -86,7 +86,7 @@
     }
 
     /** Whether the upstream has responded since the attempt was sent: then it is up. */
-    boolean hasRespondedSince(Attempt attempt) {
+    boolean hasRespondedSince(AttemptState attempt) {
         return attempt.upstream.outlier.lastResponseMicros >= attempt.sentAtMicros;
     }
 
--- a/src/main/java/sedgeyoke/policy/RequestState.java
+++ b/src/main/java/sedgeyoke/policy/RequestState.java
@@ -16,7 +16,7 @@
 
     final long arrivedAtMicros;
     final long deadlineMicros;
-    final List<Attempt> attempts = new ArrayList<>(1);
+    final List<AttemptState> attempts = new ArrayList<>(1);
     final KeyAffinity.CachedUpstream affinity = new KeyAffinity.CachedUpstream();
     /** When its latency objective is missed. */
     long objectiveAtMicros;
@@ -50,17 +50,17 @@
     }
 
     /** The attempt of that number. */
-    Optional<Attempt> attempt(int index) {
+    Optional<AttemptState> attempt(int index) {
         boolean exists = index >= 0 && index < attempts.size();
         return exists ? Optional.of(attempts.get(index)) : Optional.empty();
     }
 
-    void begin(Attempt attempt) {
+    void begin(AttemptState attempt) {
         attempts.add(attempt);
         outstanding++;
     }
 
-    void end(Attempt attempt, Outcome outcome) {
+    void end(AttemptState attempt, Outcome outcome) {
         attempt.outstanding = false;
         attempt.mayHaveRun = !outcome.neverRan;
         outstanding--;
@@ -71,8 +71,8 @@
     }
 
     /** The first attempt that an upstream may have run or may still run; null if there is none. */
-    Attempt firstThatMayHaveRun() {
-        for (Attempt attempt : attempts) {
+    AttemptState firstThatMayHaveRun() {
+        for (AttemptState attempt : attempts) {
             if (attempt.mayHaveRun) {
                 return attempt;
             }
--- a/src/main/java/sedgeyoke/policy/RetryPolicy.java
+++ b/src/main/java/sedgeyoke/policy/RetryPolicy.java
@@ -93,7 +93,7 @@
      * {@code sedgeyoke.proxy.exchange.AttemptProgress#resendDeadlineMicros}, less a margin.
      */
     private boolean mayRunAgain(RequestState request, UpstreamState upstream, long nowMicros) {
-        Attempt earlier = request.firstThatMayHaveRun();
+        AttemptState earlier = request.firstThatMayHaveRun();
         RequestClass requestClass = request.requestClass;
         if (earlier == null || requestClass.effect() == Effect.SAFE) {
             return true;
@@ -106,10 +106,10 @@
 
     private static boolean sharesKeys(Scope scope, UpstreamState earlier, UpstreamState next) {
         return scope == Scope.ALL
-                || scope == Scope.ZONE
-                        && earlier.endpoint().zone() == next.endpoint().zone()
-                || scope == Scope.CELL
-                        && earlier.endpoint().cell() == next.endpoint().cell();
+                || (scope == Scope.ZONE
+                        && earlier.endpoint().zone() == next.endpoint().zone())
+                || (scope == Scope.CELL
+                        && earlier.endpoint().cell() == next.endpoint().cell());
     }
 
     /** Whether a final response may tell the client that a retry is harmless. */
--- a/src/main/java/sedgeyoke/policy/UtilizationWeightedPolicy.java
+++ b/src/main/java/sedgeyoke/policy/UtilizationWeightedPolicy.java
@@ -81,7 +81,7 @@
     public void attemptEnded(long nowMicros, AttemptEnd end) {
         recordReport(end.upstream(), end.load(), nowMicros);
         RequestState request = modules.requests.find(end.request()).orElse(null);
-        Attempt attempt =
+        AttemptState attempt =
                 request == null ? null : request.attempt(end.attempt()).orElse(null);
         if (attempt == null) {
             return;
@@ -120,7 +120,7 @@
     @Override
     public void responseStarted(long nowMicros, String requestId, int attemptNumber) {
         RequestState request = modules.requests.find(requestId).orElse(null);
-        Attempt attempt =
+        AttemptState attempt =
                 request == null ? null : request.attempt(attemptNumber).orElse(null);
         if (attempt != null && !request.streaming) {
             request.streaming = true;
@@ -131,7 +131,7 @@
     @Override
     public void transferStarted(long nowMicros, String requestId, int attemptNumber) {
         RequestState request = modules.requests.find(requestId).orElse(null);
-        Attempt attempt =
+        AttemptState attempt =
                 request == null ? null : request.attempt(attemptNumber).orElse(null);
         if (attempt != null && attempt.outstanding && !attempt.transfer) {
             attempt.upstream.inFlight.becomeTransfer(attempt, request.cost);
--- a/src/main/java/sedgeyoke/proxy/client/ClientTimeouts.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientTimeouts.java
@@ -31,10 +31,10 @@
 
     /** Whether the connection must be closed, because its client sends nothing, reads nothing or does not leave. */
     boolean mustClose(ClientConnectionState state, boolean idle, long elapsedMicros) {
-        return state == ClientConnectionState.NEW && elapsedMicros > REQUEST_MICROS
-                || idle && elapsedMicros > IDLE_MICROS
-                || state == ClientConnectionState.WRITING && elapsedMicros > responseMicros
-                || state == ClientConnectionState.CLOSING && elapsedMicros > CLOSING_MICROS;
+        return (state == ClientConnectionState.NEW && elapsedMicros > REQUEST_MICROS)
+                || (idle && elapsedMicros > IDLE_MICROS)
+                || (state == ClientConnectionState.WRITING && elapsedMicros > responseMicros)
+                || (state == ClientConnectionState.CLOSING && elapsedMicros > CLOSING_MICROS);
     }
 
     /** Whether a client has connected some time ago and has sent nothing. */
@@ -59,6 +59,6 @@
     boolean mayMakeRoom(ClientConnectionState state, boolean idle, long elapsedMicros) {
         return isLingering(state, elapsedMicros)
                 || isSilent(state, elapsedMicros)
-                || idle && exceedsShortIdle(elapsedMicros);
+                || (idle && exceedsShortIdle(elapsedMicros));
     }
 }
--- a/src/main/java/sedgeyoke/proxy/client/RequestReader.java
+++ b/src/main/java/sedgeyoke/proxy/client/RequestReader.java
@@ -75,7 +75,7 @@
 
     /** Whether what is received belongs to a pipelined request, behind the one that is being read or in flight. */
     private boolean isPipelined() {
-        return lastContent != null || !incoming.isReadingBody() && (connection.isBusy() || !pipelined.isEmpty());
+        return lastContent != null || (!incoming.isReadingBody() && (connection.isBusy() || !pipelined.isEmpty()));
     }
 
     /** Whether another request waits behind the one in flight. */
@@ -157,7 +157,7 @@
         while (!pipelined.isEmpty()
                 && channel.isActive()
                 && (connection.state() == ClientConnectionState.IDLE
-                        || connection.state() == ClientConnectionState.READING && incoming.isReadingBody())) {
+                        || (connection.state() == ClientConnectionState.READING && incoming.isReadingBody()))) {
             PipelinedRequests.Part part = pipelined.poll();
             receivedMicros = part.receivedMicros();
             process(part.message());
--- a/src/main/java/sedgeyoke/proxy/config/EndpointList.java
+++ b/src/main/java/sedgeyoke/proxy/config/EndpointList.java
@@ -37,7 +37,7 @@
             String id = member.path("id").asText("");
             State state = STATES_BY_PHASE.get(member.path("phase").asText(""));
             InetSocketAddress address = IpAddress.parse(member.path("host_port").asText(""));
-            if (id.isEmpty() || state == null || address == null && state != State.REMOVED) {
+            if (id.isEmpty() || state == null || (address == null && state != State.REMOVED)) {
                 throw new InvalidEndpointListException("an entry without id, phase or host_port");
             }
             // The policy's clock starts as the wall clock, so launch times need no conversion.
--- a/src/main/java/sedgeyoke/proxy/core/ProxyCore.java
+++ b/src/main/java/sedgeyoke/proxy/core/ProxyCore.java
@@ -177,7 +177,7 @@
      */
     public boolean ready() {
         return discovery.hasList()
-                || !config.configuredEndpoints().members().isEmpty() && initialListBarrier.isReleased();
+                || (!config.configuredEndpoints().members().isEmpty() && initialListBarrier.isReleased());
     }
 
     // ---- For the frontend ----------------------------------------------------------------------------
--- a/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
@@ -95,7 +95,7 @@
 
     /** Buffers what was already read when reading was paused. */
     private void bufferOverflow(ByteBuf part) {
-        if (aborted || forwarding && sink == null) {
+        if (aborted || (forwarding && sink == null)) {
             part.release(); // no attempt will take it
         } else {
             overflow.add(part);
--- a/src/main/java/sedgeyoke/proxy/exchange/UpstreamResponse.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/UpstreamResponse.java
@@ -56,8 +56,8 @@
 
     private static Predicate<String> isValidIn(JsonNode values) {
         return name -> values.path(name).isMissingNode()
-                || values.path(name).isNumber()
+                || (values.path(name).isNumber()
                         && values.path(name).asDouble() >= 0
-                        && values.path(name).asDouble() <= MAX_REPORT_VALUE;
+                        && values.path(name).asDouble() <= MAX_REPORT_VALUE);
     }
 }
--- a/src/main/java/sedgeyoke/proxy/lifecycle/ClassArchiveTraining.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/ClassArchiveTraining.java
@@ -29,7 +29,7 @@
 
     /** Exits with 0 whatever happens: without a complete archive a start is slower, but works. */
     public static void main(String[] args) {
-        try (ServerSocket upstreams = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))) {
+        try (ServerSocket upstreams = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             thread(() -> accept(upstreams));
             EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
             BalancerConfig config = BalancerConfig.parse(config("127.0.0.1:" + upstreams.getLocalPort()));
--- a/src/main/java/sedgeyoke/proxy/upstream/UpstreamResponseDecoder.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamResponseDecoder.java
@@ -126,7 +126,7 @@
         long length = HttpUtil.getContentLength(head, -1L);
         String announced = head.headers().get(HttpHeaderNames.CONTENT_LENGTH);
         boolean endsWithConnection = announced == null && !HttpUtil.isKeepAlive(head);
-        if (length < 0 && !endsWithConnection || length > maxBytes) {
+        if ((length < 0 && !endsWithConnection) || length > maxBytes) {
             throw new CorruptedFrameException("the length " + announced);
         }
     }
--- a/src/main/java/sedgeyoke/simulation/Simulation.java
+++ b/src/main/java/sedgeyoke/simulation/Simulation.java
@@ -69,12 +69,12 @@
     }
 
     /** Runs the scenario to its end. */
-    public Outcome run() {
+    public SimulationResult run() {
         return run(second -> {});
     }
 
     /** Runs the scenario to its end, and reports each second of virtual time that has passed. */
-    public Outcome run(IntConsumer progress) {
+    public SimulationResult run(IntConsumer progress) {
         start();
         Scenario scenario = context.scenario;
         int wholeSeconds = (int) Math.ceil(scenario.seconds());
@@ -108,9 +108,9 @@
         context.events.runUntil(context.events.now() + micros);
     }
 
-    private Outcome outcome() {
+    private SimulationResult outcome() {
         InvariantChecker.Summary summary = context.checker.summary();
-        return new Outcome(
+        return new SimulationResult(
                 seed,
                 timeSeries.service(),
                 summary.requests(),
--- a/src/main/java/sedgeyoke/simulation/Outcome.java
+++ b/src/main/java/sedgeyoke/simulation/SimulationResult.java
@@ -24,7 +24,7 @@
  * @param upstreamUtilisation true utilisation of each upstream by second, -1 while it was not there
  * @param events number of events that were simulated
  */
-public record Outcome(
+public record SimulationResult(
         long seed,
         double service,
         long requests,
--- a/src/main/java/sedgeyoke/simulation/TimeSeries.java
+++ b/src/main/java/sedgeyoke/simulation/TimeSeries.java
@@ -30,8 +30,8 @@
         private double totalLatencyMicros;
         private long maxLatencyMicros;
 
-        Outcome.Second toOutcome() {
-            return new Outcome.Second(
+        SimulationResult.Second toResult() {
+            return new SimulationResult.Second(
                     offeredWeight == 0 ? 1 : servedWeight / offeredWeight,
                     operations,
                     rejected,
@@ -99,7 +99,7 @@
         return latency;
     }
 
-    List<Outcome.Second> seconds() {
-        return seconds.stream().map(Second::toOutcome).toList();
+    List<SimulationResult.Second> seconds() {
+        return seconds.stream().map(Second::toResult).toList();
     }
 }
--- a/src/test/java/sedgeyoke/body/BodyRulesTest.java
+++ b/src/test/java/sedgeyoke/body/BodyRulesTest.java
@@ -55,7 +55,7 @@
                 || PROVES_IT_NEVER_RAN.contains(outcome)) {
             return PartialRequestPolicy.NextStep.REJECT;
         }
-        return effect == Effect.SAFE || effect == Effect.IDEMPOTENT_WITH_KEY && scope == Scope.ALL
+        return effect == Effect.SAFE || (effect == Effect.IDEMPOTENT_WITH_KEY && scope == Scope.ALL)
                 ? PartialRequestPolicy.NextStep.REJECT
                 : PartialRequestPolicy.NextStep.FAIL;
     }
--- a/src/test/java/sedgeyoke/consensus/server/ClientOperation.java
+++ b/src/test/java/sedgeyoke/consensus/server/ClientOperation.java
@@ -24,6 +24,6 @@
     boolean observesVersion() {
         boolean done = result.kind() == RequestResult.Kind.DONE;
         return result.version() > 0
-                && (request instanceof ClientRequest.Read || request instanceof ClientRequest.Set && done);
+                && (request instanceof ClientRequest.Read || (request instanceof ClientRequest.Set && done));
     }
 }
--- a/src/test/java/sedgeyoke/consensus/server/ConsensusSafetyTest.java
+++ b/src/test/java/sedgeyoke/consensus/server/ConsensusSafetyTest.java
@@ -54,10 +54,10 @@
         assertNull(violation);
         assertTrue(
                 SEEDS < 100
-                        || commits.get() > 20 * SEEDS
+                        || (commits.get() > 20 * SEEDS
                                 && crashes.get() > SEEDS
                                 && diskFaults.get() > SEEDS / 2
-                                && recoveries.get() > SEEDS / 4,
+                                && recoveries.get() > SEEDS / 4),
                 "too little happened for the simulation to show anything");
     }
 
--- a/src/test/java/sedgeyoke/experiment/WorstCaseSearchTest.java
+++ b/src/test/java/sedgeyoke/experiment/WorstCaseSearchTest.java
@@ -12,8 +12,8 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sedgeyoke.simulation.Outcome;
 import sedgeyoke.simulation.Simulation;
+import sedgeyoke.simulation.SimulationResult;
 
 /** Tests that a search finds the worst case, reduces it, and writes a file that reproduces it. */
 class WorstCaseSearchTest {
@@ -45,7 +45,8 @@
         ExperimentFile reproduced =
                 ExperimentFile.load(Path.of(found.path("file").asText()));
         assertEquals("blind", reproduced.comparison().base());
-        Outcome outcome = new Simulation(reproduced.points().get(0).variants().get("blind"), 5).run();
+        SimulationResult outcome =
+                new Simulation(reproduced.points().get(0).variants().get("blind"), 5).run();
         assertTrue(outcome.totalViolations() > 0, "the written file reproduces it");
     }
 
--- a/src/test/java/sedgeyoke/policy/AttemptSenderTest.java
+++ b/src/test/java/sedgeyoke/policy/AttemptSenderTest.java
@@ -30,7 +30,7 @@
     void theRequestAndTheUpstreamCountTheAttempt() {
         RequestState request = policy.arrived(Effect.SAFE);
         policy.sender.send(request, upstream, NOW);
-        Attempt attempt = request.attempt(0).orElseThrow();
+        AttemptState attempt = request.attempt(0).orElseThrow();
         assertSame(upstream, attempt.upstream);
         assertEquals(NOW, attempt.sentAtMicros);
         assertTrue(request.hasOutstandingAttempt());
--- a/src/test/java/sedgeyoke/policy/ConcurrencyLimitsTest.java
+++ b/src/test/java/sedgeyoke/policy/ConcurrencyLimitsTest.java
@@ -57,7 +57,7 @@
 
     @Test
     void aPromptResponseRaisesALimitThatWasReached() {
-        Attempt attempt = new Attempt(upstream, NOW);
+        AttemptState attempt = new AttemptState(upstream, NOW);
         attempt.sentAtLimit = true;
         limits.recordSuccess(request, attempt, TARGET, NOW + TARGET);
         assertEquals(3 + 0.3 / 3, upstream.concurrency.limit(), EXACT);
@@ -65,7 +65,7 @@
 
     @Test
     void aPromptResponseLeavesALimitThatWasNotReached() {
-        limits.recordSuccess(request, new Attempt(upstream, NOW), TARGET, NOW + TARGET);
+        limits.recordSuccess(request, new AttemptState(upstream, NOW), TARGET, NOW + TARGET);
         assertEquals(3, upstream.concurrency.limit(), EXACT);
     }
 
@@ -78,27 +78,27 @@
 
     private double limitAfterNoResponse(long durationMicros) {
         UpstreamState silent = policy.upstream(1);
-        limits.recordNoResponse(request, new Attempt(silent, NOW), durationMicros, NOW + durationMicros);
+        limits.recordNoResponse(request, new AttemptState(silent, NOW), durationMicros, NOW + durationMicros);
         return silent.concurrency.limit();
     }
 
     @Test
     void aRoundOfAttemptsDecreasesTheLimitOnce() {
-        limits.recordNoResponse(request, new Attempt(upstream, NOW), SECOND, NOW + SECOND);
+        limits.recordNoResponse(request, new AttemptState(upstream, NOW), SECOND, NOW + SECOND);
         double decreased = upstream.concurrency.limit();
-        limits.recordNoResponse(request, new Attempt(upstream, NOW + 1), SECOND, NOW + SECOND + 1);
+        limits.recordNoResponse(request, new AttemptState(upstream, NOW + 1), SECOND, NOW + SECOND + 1);
         assertEquals(decreased, upstream.concurrency.limit(), EXACT);
-        limits.recordNoResponse(request, new Attempt(upstream, NOW + SECOND), SECOND, NOW + 2 * SECOND);
+        limits.recordNoResponse(request, new AttemptState(upstream, NOW + SECOND), SECOND, NOW + 2 * SECOND);
         assertTrue(upstream.concurrency.limit() < decreased);
     }
 
     @Test
     void aLongResponseFromIdleCoresIsNoWaitingTime() {
         policy.reports.record(upstream, PolicyHarness.report(0.79), NOW);
-        limits.recordSuccess(request, new Attempt(upstream, NOW), 2 * TARGET, NOW + 2 * TARGET);
+        limits.recordSuccess(request, new AttemptState(upstream, NOW), 2 * TARGET, NOW + 2 * TARGET);
         assertEquals(3, upstream.concurrency.limit(), EXACT);
         policy.reports.record(upstream, PolicyHarness.report(0.8), NOW);
-        limits.recordSuccess(request, new Attempt(upstream, NOW), 2 * TARGET, NOW + 2 * TARGET);
+        limits.recordSuccess(request, new AttemptState(upstream, NOW), 2 * TARGET, NOW + 2 * TARGET);
         assertTrue(upstream.concurrency.limit() < 3);
     }
 
@@ -106,7 +106,7 @@
     void hintedWorkIsNoWaitingTime() {
         RequestState hinted = policy.request(Effect.SAFE, 100);
         hinted.cost = 100;
-        limits.recordSuccess(hinted, new Attempt(upstream, NOW), SECOND, NOW + SECOND);
+        limits.recordSuccess(hinted, new AttemptState(upstream, NOW), SECOND, NOW + SECOND);
         assertEquals(SECOND / 100.0, upstream.concurrency.leastServiceTimeMicros(), EXACT);
         assertEquals(3, upstream.concurrency.limit(), EXACT);
     }
--- a/src/test/java/sedgeyoke/policy/EjectionRulesTest.java
+++ b/src/test/java/sedgeyoke/policy/EjectionRulesTest.java
@@ -128,11 +128,11 @@
     @Test
     void onlyAResponseSinceTheAttemptShowsThatTheUpstreamIsUp() {
         outliers.recordSuccess(upstream, NOW);
-        assertTrue(outliers.hasRespondedSince(new Attempt(upstream, NOW)));
-        assertFalse(outliers.hasRespondedSince(new Attempt(upstream, NOW + 1)));
+        assertTrue(outliers.hasRespondedSince(new AttemptState(upstream, NOW)));
+        assertFalse(outliers.hasRespondedSince(new AttemptState(upstream, NOW + 1)));
     }
 
-    private Attempt startAttempt() {
+    private AttemptState startAttempt() {
         outliers.attemptStarting(upstream, NOW);
         return PolicyFixtures.begin(request, upstream, NOW);
     }
--- a/src/test/java/sedgeyoke/policy/InFlightLoadTest.java
+++ b/src/test/java/sedgeyoke/policy/InFlightLoadTest.java
@@ -22,7 +22,7 @@
 
     @Test
     void anEndedAttemptLeavesNothingButItsCount() {
-        Attempt attempt = begin(30);
+        AttemptState attempt = begin(30);
         load.end(attempt, 30);
         assertEquals(0, load.attempts());
         assertEquals(0, load.work(), EXACT);
@@ -31,7 +31,7 @@
 
     @Test
     void aTransferIsATenthOfARequestAndNoWork() {
-        Attempt attempt = begin(30);
+        AttemptState attempt = begin(30);
         load.becomeTransfer(attempt, 30);
         assertEquals(0, load.attempts());
         assertEquals(0, load.work(), EXACT);
@@ -42,7 +42,7 @@
 
     @Test
     void anAttemptWhoseResponseIsStreamedOwesNoResponse() {
-        Attempt attempt = begin(1);
+        AttemptState attempt = begin(1);
         assertTrue(load.awaitsResponse());
         load.beginStream(attempt);
         assertFalse(load.awaitsResponse());
@@ -52,8 +52,8 @@
         assertTrue(load.awaitsResponse());
     }
 
-    private Attempt begin(double cost) {
-        Attempt attempt = new Attempt(upstream, NOW);
+    private AttemptState begin(double cost) {
+        AttemptState attempt = new AttemptState(upstream, NOW);
         load.begin(attempt, cost);
         return attempt;
     }
--- a/src/test/java/sedgeyoke/policy/InvariantRecorder.java
+++ b/src/test/java/sedgeyoke/policy/InvariantRecorder.java
@@ -86,8 +86,8 @@
         if (first >= 0 && recorded.requestClass.effect() == Effect.IDEMPOTENT_WITH_KEY) {
             SentAttempt earlier = recorded.attempts.get(first);
             boolean near = recorded.requestClass.scope() == Scope.ALL
-                    || recorded.requestClass.scope() == Scope.ZONE && earlier.upstream.zone() == upstream.zone()
-                    || recorded.requestClass.scope() == Scope.CELL && earlier.upstream.cell() == upstream.cell();
+                    || (recorded.requestClass.scope() == Scope.ZONE && earlier.upstream.zone() == upstream.zone())
+                    || (recorded.requestClass.scope() == Scope.CELL && earlier.upstream.cell() == upstream.cell());
             if (!near || now - earlier.at > recorded.requestClass.deduplicationWindowMicros()) {
                 violations.add("2: idempotency key used outside its scope or window " + id);
             }
@@ -137,8 +137,8 @@
         boolean mayHaveRun = recorded.mayHaveRun.contains(true);
         if (mayHaveRun
                 && (recorded.requestClass.effect() == Effect.UNSAFE
-                        || recorded.requestClass.effect() == Effect.IDEMPOTENT_WITH_KEY
-                                && recorded.requestClass.scope() != Scope.ALL)) {
+                        || (recorded.requestClass.effect() == Effect.IDEMPOTENT_WITH_KEY
+                                && recorded.requestClass.scope() != Scope.ALL))) {
             violations.add("2: rejected though it may have run " + id);
         }
         responded(now, id);
--- a/src/test/java/sedgeyoke/policy/OutcomeRecorderTest.java
+++ b/src/test/java/sedgeyoke/policy/OutcomeRecorderTest.java
@@ -42,7 +42,7 @@
 
     @Test
     void aFailedConnectToAnUpstreamThatRespondsLowersItsLimitOnly() {
-        Attempt refused = new Attempt(upstream, NOW);
+        AttemptState refused = new AttemptState(upstream, NOW);
         end(policy.request(Effect.SAFE), Outcome.OK, 20 * MILLI, NOW + 1);
         double limit = upstream.concurrency.limit();
         recordEnd(policy.request(Effect.SAFE), refused, Outcome.CONNECT_FAILED, MILLI, NOW + 2);
@@ -78,11 +78,11 @@
     }
 
     private void end(RequestState request, Outcome outcome, long durationMicros, long nowMicros) {
-        recordEnd(request, new Attempt(upstream, nowMicros), outcome, durationMicros, nowMicros);
+        recordEnd(request, new AttemptState(upstream, nowMicros), outcome, durationMicros, nowMicros);
     }
 
     private void recordEnd(
-            RequestState request, Attempt attempt, Outcome outcome, long durationMicros, long nowMicros) {
+            RequestState request, AttemptState attempt, Outcome outcome, long durationMicros, long nowMicros) {
         AttemptEnd end = new AttemptEnd(
                 request.request.id(), 0, upstream.id, outcome, durationMicros, outcome == Outcome.OK, null);
         outcomes.record(request, attempt, end, nowMicros);
--- a/src/test/java/sedgeyoke/policy/PolicyFixtures.java
+++ b/src/test/java/sedgeyoke/policy/PolicyFixtures.java
@@ -139,8 +139,8 @@
     }
 
     /** Begins an attempt of the request; both the request and the upstream count it. */
-    static Attempt begin(RequestState request, UpstreamState upstream, long nowMicros) {
-        Attempt attempt = new Attempt(upstream, nowMicros);
+    static AttemptState begin(RequestState request, UpstreamState upstream, long nowMicros) {
+        AttemptState attempt = new AttemptState(upstream, nowMicros);
         request.begin(attempt);
         upstream.inFlight.begin(attempt, request.cost);
         return attempt;
--- a/src/test/java/sedgeyoke/policy/RandomResponses.java
+++ b/src/test/java/sedgeyoke/policy/RandomResponses.java
@@ -36,7 +36,7 @@
     }
 
     void endAttempt(String request, int attempt, String upstream, Outcome outcome, long durationMicros) {
-        boolean concluded = outcome == Outcome.OK || outcome == Outcome.ERROR && random.chance(0.2);
+        boolean concluded = outcome == Outcome.OK || (outcome == Outcome.ERROR && random.chance(0.2));
         LoadReport load = random.chance(reportsInResponses ? 0.8 : 0.05) ? drawLoad(upstream) : null;
         policy.attemptEnded(new AttemptEnd(request, attempt, upstream, outcome, durationMicros, concluded, load));
     }
--- a/src/test/java/sedgeyoke/policy/RequestTableTest.java
+++ b/src/test/java/sedgeyoke/policy/RequestTableTest.java
@@ -50,7 +50,7 @@
     @Test
     void aRequestIsKnownUntilItsLastAttemptHasEnded() {
         RequestState request = added();
-        Attempt attempt = PolicyFixtures.begin(request, policy.upstream(0), NOW);
+        AttemptState attempt = PolicyFixtures.begin(request, policy.upstream(0), NOW);
         requests.removeIfDone(request);
         assertTrue(requests.find(request.request.id()).isPresent());
         request.end(attempt, Outcome.OK);
--- a/src/test/java/sedgeyoke/proxy/BalancerProcess.java
+++ b/src/test/java/sedgeyoke/proxy/BalancerProcess.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.fail;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -75,7 +76,7 @@
     Socket connectWhenListening() throws InterruptedException, IOException {
         for (long end = System.nanoTime() + READ_TIMEOUT_MILLIS * 1_000_000L; System.nanoTime() < end; ) {
             try {
-                Socket socket = new Socket("127.0.0.1", port);
+                Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
                 socket.setSoTimeout(READ_TIMEOUT_MILLIS);
                 return socket;
             } catch (IOException notYet) {
@@ -90,7 +91,7 @@
     }
 
     private boolean healthy() {
-        try (Socket socket = new Socket("127.0.0.1", port)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             return Loopback.ask(socket, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
                             .status()
--- a/src/test/java/sedgeyoke/proxy/BalancerProcessTest.java
+++ b/src/test/java/sedgeyoke/proxy/BalancerProcessTest.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.ConnectException;
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -95,7 +96,8 @@
             Process process = start(file.toString());
             try (BufferedReader output = process.inputReader()) {
                 String line = awaitLine(output, "listens on");
-                try (Socket client = new Socket("127.0.0.1", Integer.parseInt(line.replaceAll(".*:", "")))) {
+                try (Socket client =
+                        new Socket(InetAddress.getLoopbackAddress(), Integer.parseInt(line.replaceAll(".*:", "")))) {
                     ScriptedServer.write(client, Loopback.request("id-1", "order", 60_000));
                     Loopback.await("sent", () -> upstream.requests.size() == 1);
                     process.destroy();
@@ -225,7 +227,7 @@
         AtomicReference<Socket> connected = new AtomicReference<>();
         Loopback.await("listens", () -> {
             try {
-                connected.set(new Socket("127.0.0.1", port));
+                connected.set(new Socket(InetAddress.getLoopbackAddress(), port));
                 return true;
             } catch (IOException e) {
                 return false;
@@ -236,7 +238,7 @@
     }
 
     private static boolean refused(int port) {
-        try (Socket probe = new Socket("127.0.0.1", port)) {
+        try (Socket probe = new Socket(InetAddress.getLoopbackAddress(), port)) {
             return !probe.isConnected();
         } catch (IOException e) {
             return true;
--- a/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
+++ b/src/test/java/sedgeyoke/proxy/BodyPropertiesTest.java
@@ -178,7 +178,7 @@
 
         @Override
         public boolean forward(ByteBuf data) {
-            assertFalse(ended || aborted || full && data.readableBytes() > CEILING);
+            assertFalse(ended || aborted || (full && data.readableBytes() > CEILING));
             mine.add(data);
             got.writeBytes(io.netty.buffer.ByteBufUtil.getBytes(data));
             full = random.nextInt(3) == 0;
--- a/src/test/java/sedgeyoke/proxy/GracefulShutdownTest.java
+++ b/src/test/java/sedgeyoke/proxy/GracefulShutdownTest.java
@@ -36,7 +36,7 @@
             long due = signalLate;
             boolean closed = false;
             for (long now = signalLate; now < KILLED; now += MS) {
-                if (now >= stalledAt && now < stalledAt + 100 * MS || now < due) {
+                if ((now >= stalledAt && now < stalledAt + 100 * MS) || now < due) {
                     continue;
                 }
                 for (; unread <= now && !closed; unread += 5 * MS) { // what has come is read before timers run
--- a/src/test/java/sedgeyoke/proxy/HandOverTest.java
+++ b/src/test/java/sedgeyoke/proxy/HandOverTest.java
@@ -18,7 +18,7 @@
     private Path folder;
 
     private static ServerSocketChannel listener() throws Exception {
-        return ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+        return ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
     private Loopback start(ServerSocketChannel listener, ScriptedServer upstream, ScriptedServer discovery)
--- a/src/test/java/sedgeyoke/proxy/LoopbackServer.java
+++ b/src/test/java/sedgeyoke/proxy/LoopbackServer.java
@@ -13,7 +13,7 @@
     /** More connections than any test opens at once: none is to be turned away as nobody has had the time. */
     private static final int BACKLOG = 1024;
 
-    private final ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
+    private final ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     /** All connections that were accepted, in that order. */
     final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
--- a/src/test/java/sedgeyoke/proxy/ProxyCoreTest.java
+++ b/src/test/java/sedgeyoke/proxy/ProxyCoreTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.List;
@@ -244,7 +245,7 @@
     /** The accept queue of the upstream is full, so that the connection is not established in time. */
     @Test
     void anAttemptWithoutAConnectionIsKnownNotToHaveRun() throws Exception {
-        try (ServerSocket dead = new ServerSocket(0, 1, java.net.InetAddress.getByName("127.0.0.1"));
+        try (ServerSocket dead = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket first = new Socket(dead.getInetAddress(), dead.getLocalPort());
                 Socket second = new Socket(dead.getInetAddress(), dead.getLocalPort());
                 Loopback lb = scripted((m, r) -> m.actions.send(r.id(), "a", 30_000))
--- a/src/test/java/sedgeyoke/proxy/ServingTest.java
+++ b/src/test/java/sedgeyoke/proxy/ServingTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.ArrayList;
@@ -180,7 +181,7 @@
     /** An upstream that never answers a SYN, as its queue of connections is full. */
     @Test
     void aConnectTimeoutIsRetriedAtAnotherUpstream() throws Exception {
-        try (ServerSocket silent = new ServerSocket(0, 1, java.net.InetAddress.getByName("127.0.0.1"));
+        try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket first = new Socket(silent.getInetAddress(), silent.getLocalPort());
                 Socket second = new Socket(silent.getInetAddress(), silent.getLocalPort())) {
             assertTrue(first.isConnected() && second.isConnected());
--- a/src/test/java/sedgeyoke/simulation/SimulationTest.java
+++ b/src/test/java/sedgeyoke/simulation/SimulationTest.java
@@ -66,14 +66,14 @@
 
     @Test
     void theSameSeedReproducesTheSameRun() {
-        Outcome first = new Simulation(faulty(), 5).run();
-        Outcome sameSeed = new Simulation(faulty(), 5).run();
-        Outcome otherSeed = new Simulation(faulty(), 6).run();
+        SimulationResult first = new Simulation(faulty(), 5).run();
+        SimulationResult sameSeed = new Simulation(faulty(), 5).run();
+        SimulationResult otherSeed = new Simulation(faulty(), 6).run();
         assertEquals(text(first), text(sameSeed));
         assertNotEquals(text(first), text(otherSeed));
     }
 
-    private static String text(Outcome outcome) {
+    private static String text(SimulationResult outcome) {
         return outcome.service() + " " + outcome.events() + " " + outcome.attempts() + " " + outcome.answers() + " "
                 + outcome.seconds() + outcome.upstreamUtilisation()
                 + outcome.latency().getMean() + outcome.warmUps() + outcome.coldPeak() + outcome.violations();
@@ -84,9 +84,10 @@
     void arrivalsDoNotDependOnThePolicy() {
         List<Long> first = null;
         for (String policy : BaselinePolicies.names()) {
-            Outcome outcome = new Simulation(small(0.5).withPolicy(policy), 3).run();
-            List<Long> wanted =
-                    outcome.seconds().stream().map(Outcome.Second::operations).toList();
+            SimulationResult outcome = new Simulation(small(0.5).withPolicy(policy), 3).run();
+            List<Long> wanted = outcome.seconds().stream()
+                    .map(SimulationResult.Second::operations)
+                    .toList();
             first = first == null ? wanted : first;
             assertEquals(first, wanted, policy);
         }
@@ -113,7 +114,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void theRulesHoldUnderFaults(long seed) {
         for (Scenario scenario : List.of(faulty(), faulty().withPlanners(PlannerSpec.defaults(0)))) {
-            Outcome outcome = new Simulation(scenario, seed).run();
+            SimulationResult outcome = new Simulation(scenario, seed).run();
             assertEquals(
                     Map.of(), outcome.violations(), outcome.violationMessages().toString());
             assertTrue(outcome.coldPeak() <= 1);
@@ -162,7 +163,7 @@
     @ValueSource(longs = {1, 2, 3})
     void theRulesHoldWithFewConnectionsAndRestartsOfForwarders(long seed) {
         Simulation run = new Simulation(withFewConnections(), seed);
-        Outcome outcome = run.run();
+        SimulationResult outcome = run.run();
         assertEquals(Map.of(), outcome.violations(), outcome.violationMessages().toString());
         assertEquals(0, run.openAtClients());
         assertTrue(run.minConnections() >= 0, "closed a connection twice");
--- a/src/test/java/sedgeyoke/startup/ServerStartupTest.java
+++ b/src/test/java/sedgeyoke/startup/ServerStartupTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,7 +16,7 @@
 import sedgeyoke.settings.OperatorFile;
 
 class ServerStartupTest {
-    private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 1);
+    private static final InetSocketAddress ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
     @Test
     void aMissingOperatorFileIsReported() {
--- a/src/test/java/sedgeyoke/transport/ReconnectingDialerTest.java
+++ b/src/test/java/sedgeyoke/transport/ReconnectingDialerTest.java
@@ -8,6 +8,7 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.file.Path;
@@ -74,7 +75,7 @@
         serverTls = MutualTls.forServer(issue(certificates, "p1", "planner"), log::add);
         clientTls = MutualTls.forClient(issue(certificates, "f1", "forwarder"), log::add);
         try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
     }
 
