--- a/src/main/java/sedgeyoke/consensus/RaftTiming.java
+++ b/src/main/java/sedgeyoke/consensus/RaftTiming.java
@@ -15,7 +15,8 @@
  */
 public record RaftTiming(
         long electionTimeoutMicros, long heartbeatMicros, long leaseMicros, ClockDrift drift, int snapshotInterval) {
-    static final long MICROS_PER_MILLI = 1_000;
+    /** Microseconds in a millisecond. */
+    public static final long MICROS_PER_MILLI = 1_000;
 
     private static final long DEFAULT_ELECTION_TIMEOUT_MICROS = 800_000;
     private static final long DEFAULT_HEARTBEAT_MICROS = 100_000;
--- a/src/main/java/sedgeyoke/consensus/server/ConfigServerMain.java
+++ b/src/main/java/sedgeyoke/consensus/server/ConfigServerMain.java
@@ -37,7 +37,6 @@
     private static final long LEADERSHIP_TRANSFER_MILLIS = 300;
 
     private static final int EXIT_SERVER_FAILED = 3;
-    private static final long MICROS_PER_MILLI = 1_000;
 
     private ConfigServerMain() {}
 
@@ -125,8 +124,8 @@
         EventLoop loop = ServerStartup.newEventLoop();
         LongSupplier clock = ServerStartup.clockSinceStart();
         RateLimitedLog log = new RateLimitedLog(System.err, clock);
-        SafetyRules rules = new SafetyRules(
-                RaftTiming.defaults(settings.leaseMs() * MICROS_PER_MILLI, new ClockDrift(settings.driftPpm())));
+        SafetyRules rules = new SafetyRules(RaftTiming.defaults(
+                settings.leaseMs() * RaftTiming.MICROS_PER_MILLI, new ClockDrift(settings.driftPpm())));
         ServerStartup.listen(logName(settings), settings.listen(), () -> {
             ConfigServer server = new ConfigServer(
                     loop,
--- a/src/main/java/sedgeyoke/consensus/server/ConfigSubscription.java
+++ b/src/main/java/sedgeyoke/consensus/server/ConfigSubscription.java
@@ -31,7 +31,6 @@
  */
 public final class ConfigSubscription {
     private static final long CHECK_MILLIS = 20;
-    private static final long MICROS_PER_MILLI = 1_000;
     private static final int REQUESTS_PER_LEASE = 6;
     /** After so many requests without a response the next server is tried. */
     private static final int MAX_UNANSWERED_REQUESTS = 2;
@@ -75,8 +74,8 @@
         this.onChange = onChange;
         this.name = name;
         this.dialer = new Dialer<>(loop, MutualTls.forClient(settings.tls(), log), ServerConnection::new);
-        RaftTiming timing =
-                RaftTiming.defaults(settings.leaseMs() * MICROS_PER_MILLI, new ClockDrift(settings.driftPpm()));
+        RaftTiming timing = RaftTiming.defaults(
+                settings.leaseMs() * RaftTiming.MICROS_PER_MILLI, new ClockDrift(settings.driftPpm()));
         this.subscriber = new ConfigSubscriber(name, incarnation, new SafetyRules(timing), ConfigVersion.NONE);
         this.random = new SplittableRandom(incarnation);
         this.requestIntervalMicros = timing.leaseMicros() / REQUESTS_PER_LEASE;
--- a/src/main/java/sedgeyoke/consensus/server/OperatorRequests.java
+++ b/src/main/java/sedgeyoke/consensus/server/OperatorRequests.java
@@ -30,7 +30,6 @@
     private static final long MAX_REPLY_DELAY_MICROS = 3_000_000;
 
     private static final long REPLY_RETRY_MILLIS = 20;
-    private static final long MICROS_PER_MILLI = 1_000;
 
     private final ServerContext context;
     private final RaftNode node;
@@ -145,6 +144,6 @@
     }
 
     private static long roundUpToMillis(long micros) {
-        return (micros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+        return (micros + RaftTiming.MICROS_PER_MILLI - 1) / RaftTiming.MICROS_PER_MILLI;
     }
 }
--- a/src/main/java/sedgeyoke/plan/remote/PlannerClient.java
+++ b/src/main/java/sedgeyoke/plan/remote/PlannerClient.java
@@ -16,6 +16,7 @@
 import sedgeyoke.plan.PlanMessage;
 import sedgeyoke.plan.PlanSubscriber;
 import sedgeyoke.policy.LoadBalancingPolicy;
+import sedgeyoke.proxy.common.TimeUnits;
 import sedgeyoke.proxy.core.PolicyPort;
 import sedgeyoke.settings.PlannerClientSettings;
 import sedgeyoke.transport.Backoff;
@@ -33,7 +34,6 @@
 public final class PlannerClient {
     private static final long MIN_RECONNECT_MILLIS = 200;
     private static final long MAX_RECONNECT_MILLIS = 3_000;
-    private static final long MICROS_PER_MILLI = 1_000;
 
     private final EventLoop loop;
     private final PolicyPort port;
@@ -69,7 +69,7 @@
     /** Applies those settings that may change without a restart; on the loop. */
     public void reload(PlannerClientSettings changed) {
         reportEveryMillis = changed.reportEveryMs();
-        subscriber.setFadeTimeMicros(changed.fadeMs() * MICROS_PER_MILLI);
+        subscriber.setFadeTimeMicros(changed.fadeMs() * TimeUnits.MICROS_PER_MILLI);
     }
 
     /** Returns the number of planners whose plans have arrived lately; on the loop. */
--- a/src/main/java/sedgeyoke/proxy/config/EndpointList.java
+++ b/src/main/java/sedgeyoke/proxy/config/EndpointList.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import sedgeyoke.policy.LoadBalancingPolicy.State;
 import sedgeyoke.policy.LoadBalancingPolicy.Upstream;
+import sedgeyoke.proxy.common.TimeUnits;
 import sedgeyoke.simulator.SettingsReader;
 
 /**
@@ -53,7 +54,7 @@
                             member.path("cell").asInt(),
                             state,
                             member.path("size").asDouble(1),
-                            member.path("up_since_ms").asLong() * 1_000),
+                            member.path("up_since_ms").asLong() * TimeUnits.MICROS_PER_MILLI),
                     address));
         }
         return new EndpointList(
--- a/src/main/java/sedgeyoke/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/DiscoveryClient.java
@@ -10,6 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import sedgeyoke.proxy.common.RateLimitedLog;
+import sedgeyoke.proxy.common.TimeUnits;
 import sedgeyoke.proxy.common.Transport;
 import sedgeyoke.proxy.config.BalancerConfig;
 import sedgeyoke.proxy.config.EndpointList;
@@ -33,12 +34,10 @@
     private static final long MIN_WATCH_MICROS = 50_000;
 
     private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
-    private static final int MIN_PAUSE_MICROS = 20_000;
+    private static final long MIN_PAUSE_MICROS = 20_000;
     /** Whole milliseconds are drawn. */
     private static final int PAUSE_JITTER_MILLIS = 80;
 
-    private static final int MICROS_PER_MILLI = 1_000;
-
     private final EventLoop loop;
     private final BalancerConfig config;
     private final Transport transport;
@@ -115,7 +114,7 @@
         this.hasList = !completeListNeeded; // clients need not wait for an answer without changes
         long connectTimeoutMicros = Math.min(CONNECT_TIMEOUT_MICROS, timings.completeListSilenceMicros());
         this.bootstrap = transport.client(loop).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
-                (connectTimeoutMicros / MICROS_PER_MILLI));
+                (connectTimeoutMicros / TimeUnits.MICROS_PER_MILLI));
     }
 
     /** Whether there is a list: discovery has sent one, or a watch continues from the one of the configuration. */
@@ -184,7 +183,7 @@
     }
 
     private String watchUri(long waitMicros) {
-        return "/catalog/members?from=" + revisions.revision() + "&hold_ms=" + waitMicros / MICROS_PER_MILLI;
+        return "/catalog/members?from=" + revisions.revision() + "&hold_ms=" + waitMicros / TimeUnits.MICROS_PER_MILLI;
     }
 
     /** Calls again on another connection. The overdue answer may still come, unless an earlier one is awaited. */
@@ -243,7 +242,7 @@
 
     /** Continues watching after a pause that is too short for the watch to count as interrupted. */
     private void continueAfterPause() {
-        int pauseMicros = MIN_PAUSE_MICROS + MICROS_PER_MILLI * random.nextInt(PAUSE_JITTER_MILLIS);
+        long pauseMicros = MIN_PAUSE_MICROS + TimeUnits.MICROS_PER_MILLI * random.nextInt(PAUSE_JITTER_MILLIS);
         loop.schedule(this::continueWatching, pauseMicros, TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/sedgeyoke/proxy/discovery/DiscoveryFailures.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/DiscoveryFailures.java
@@ -2,13 +2,13 @@
 
 import java.util.function.LongSupplier;
 import sedgeyoke.proxy.common.RateLimitedLog;
+import sedgeyoke.proxy.common.TimeUnits;
 
 /**
  * Logs and counts the calls to discovery that fail or get no answer in time, and how long discovery was unavailable.
  * Times are microseconds. Event loop only.
  */
 final class DiscoveryFailures {
-    private static final long MICROS_PER_MILLI = 1_000;
     private static final long NOT_FAILING = Long.MIN_VALUE;
 
     private final LongSupplier clockMicros;
@@ -57,6 +57,6 @@
     }
 
     private long millisSince(long timeMicros) {
-        return (clockMicros.getAsLong() - timeMicros) / MICROS_PER_MILLI;
+        return (clockMicros.getAsLong() - timeMicros) / TimeUnits.MICROS_PER_MILLI;
     }
 }
--- a/src/main/java/sedgeyoke/proxy/discovery/DiscoveryTimings.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/DiscoveryTimings.java
@@ -1,6 +1,7 @@
 package sedgeyoke.proxy.discovery;
 
 import sedgeyoke.policy.LoadBalancingPolicy.Settings;
+import sedgeyoke.proxy.common.TimeUnits;
 
 /**
  * How long calls to discovery wait, in microseconds. Together these times bound for how long a draining upstream may
@@ -30,7 +31,7 @@
  * <ul>
  *   <li>Once {@code EndpointTable} has taken the list over, nothing more is written to the upstream:
  *       {@code UpstreamConnectionPool} checks each attempt in the moment of writing and withholds it as
- *       {@code WithheldReason.UPSTREAM}.
+ *       {@code WithheldReason.UPSTREAM_NOT_READY}.
  *   <li>A process that starts with an older list forwards nothing before the first answer of discovery, for at most
  *       {@link InitialListBarrier#MAX_WAIT_MICROS}.
  * </ul>
@@ -50,7 +51,6 @@
         long maxSilenceMicros,
         long completeListSilenceMicros,
         long overdueMicros) {
-    private static final long MICROS_PER_MILLI = 1_000;
     private static final long OVERDUE_MICROS = 5_000_000;
 
     private static final DiscoveryTimings POLLED =
@@ -81,10 +81,10 @@
 
     private static DiscoveryTimings pushed(long drainGraceMicros, int upstreams) {
         // In whole milliseconds, as a watch states its wait in them.
-        long partOfGraceMillis = drainGraceMicros / MICROS_PER_MILLI / PARTS_OF_GRACE;
-        long partOfGraceMicros = Math.min(MAX_PUSHED_MICROS, partOfGraceMillis * MICROS_PER_MILLI);
+        long partOfGraceMillis = drainGraceMicros / TimeUnits.MICROS_PER_MILLI / PARTS_OF_GRACE;
+        long partOfGraceMicros = Math.min(MAX_PUSHED_MICROS, partOfGraceMillis * TimeUnits.MICROS_PER_MILLI);
         long silenceMicros = Math.max(MIN_SILENCE_MICROS, partOfGraceMicros);
-        long readTimeMicros = upstreams / UPSTREAMS_READ_PER_MILLI * MICROS_PER_MILLI;
+        long readTimeMicros = upstreams / UPSTREAMS_READ_PER_MILLI * TimeUnits.MICROS_PER_MILLI;
         return new DiscoveryTimings(
                 Math.max(MIN_WATCH_WAIT_MICROS, partOfGraceMicros),
                 silenceMicros,
--- a/src/main/java/sedgeyoke/proxy/discovery/InitialListBarrier.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/InitialListBarrier.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import sedgeyoke.proxy.common.RateLimitedLog;
+import sedgeyoke.proxy.common.TimeUnits;
 
 /**
  * Queues the requests that arrive before discovery has confirmed the endpoint list of the configuration. That list may
@@ -15,8 +16,6 @@
     /** From the first call to discovery on; the call begins well before clients can connect. */
     static final long MAX_WAIT_MICROS = 1_000_000;
 
-    private static final long MICROS_PER_MILLI = 1_000;
-
     private final EventLoop loop;
     private final RateLimitedLog log;
     private final List<Runnable> queued = new ArrayList<>();
@@ -34,14 +33,14 @@
     }
 
     /**
-     * Runs {@code request} once requests are released: now, or when discovery has answered or the limit is over. The
-     * caller checks then whether the request is still open.
+     * Runs the forwarding of a request once requests are released: now, or when discovery has answered or the limit is
+     * over. {@code forwarding} has to check then whether the request is still open.
      */
-    public void whenReleased(Runnable request) {
+    public void whenReleased(Runnable forwarding) {
         if (released) {
-            request.run();
+            forwarding.run();
         } else {
-            queued.add(request);
+            queued.add(forwarding);
         }
     }
 
@@ -59,7 +58,7 @@
 
     private void timedOut() {
         if (!released) {
-            release("endpoints: no response from discovery within " + MAX_WAIT_MICROS / MICROS_PER_MILLI
+            release("endpoints: no response from discovery within " + MAX_WAIT_MICROS / TimeUnits.MICROS_PER_MILLI
                     + " ms, using the configured list");
         }
     }
--- a/src/main/java/sedgeyoke/proxy/lifecycle/JitWarmUp.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/JitWarmUp.java
@@ -22,6 +22,7 @@
 import java.util.function.Supplier;
 import sedgeyoke.body.BodyLimits;
 import sedgeyoke.policy.LoadBalancingPolicy;
+import sedgeyoke.proxy.common.TimeUnits;
 import sedgeyoke.proxy.common.Transport;
 import sedgeyoke.proxy.config.BalancerConfig;
 import sedgeyoke.proxy.config.EndpointList;
@@ -56,8 +57,9 @@
     private static final int RESPONSES_IN_CYCLE = 20;
 
     /** Between the requests of one client. */
-    private static final long PAUSE_MICROS = 3_000;
+    private static final long REQUEST_PAUSE_MICROS = 3_000;
 
+    /** The deadline of each request, in the unit of its header. */
     private static final int BUDGET_MILLIS = 2_000;
     /** The longest time for the warm-up. */
     public static final long TIMEOUT_SECONDS = 4;
@@ -100,7 +102,9 @@
                 .min()
                 .orElse(0);
         int upstreams = config.configuredEndpoints().members().size();
-        double load = upstreams * 1e6 / (Math.max(1, shortestObjectiveMicros) * (double) settings.groupSize());
+        double load = upstreams
+                * (double) TimeUnits.MICROS_PER_SECOND
+                / (Math.max(1, shortestObjectiveMicros) * (double) settings.groupSize());
         return upstreams == 0 || load >= HIGH_LOAD ? MAX_REQUESTS : MIN_REQUESTS;
     }
 
@@ -222,7 +226,7 @@
                     : 0;
             if (sent < requests) {
                 // Not at once: a connection to an upstream is not used again immediately.
-                loop.schedule(() -> send(ctx), PAUSE_MICROS, TimeUnit.MICROSECONDS);
+                loop.schedule(() -> send(ctx), REQUEST_PAUSE_MICROS, TimeUnit.MICROSECONDS);
             }
         }
 
--- a/src/main/java/sedgeyoke/proxy/lifecycle/ShutdownDeadlines.java
+++ b/src/main/java/sedgeyoke/proxy/lifecycle/ShutdownDeadlines.java
@@ -9,9 +9,9 @@
  */
 public final class ShutdownDeadlines {
     /** New connections may arrive for up to 0.4 s after SIGTERM; only then is the listener closed. */
-    private static final long LISTEN_MICROS = 550_000;
+    private static final long LISTEN_TIME_MICROS = 550_000;
     /** SIGKILL follows SIGTERM after this and the longest deadline (PROTOCOL, "Figures"). */
-    private static final long KILL_MICROS = 700_000;
+    private static final long KILL_DELAY_MICROS = 700_000;
     /** Responses are out at least so long before it: what a signal may take to arrive on a part of a core. */
     private static final long MIN_RESERVE_MICROS = 250_000;
     /** How much time a last request gets. */
@@ -32,7 +32,7 @@
      */
     public ShutdownDeadlines(long signalTimeMicros, long longestDeadlineMicros) {
         this.signalTimeMicros = signalTimeMicros;
-        this.killTimeMicros = signalTimeMicros + longestDeadlineMicros + KILL_MICROS;
+        this.killTimeMicros = signalTimeMicros + longestDeadlineMicros + KILL_DELAY_MICROS;
         this.nextCheckMicros = signalTimeMicros;
     }
 
@@ -50,7 +50,7 @@
 
     /** Until then new connections may arrive. */
     public long listenUntilMicros() {
-        return signalTimeMicros + LISTEN_MICROS;
+        return signalTimeMicros + LISTEN_TIME_MICROS;
     }
 
     /** From then on no request is accepted. */
--- a/src/main/java/sedgeyoke/serve/OptionalFeatures.java
+++ b/src/main/java/sedgeyoke/serve/OptionalFeatures.java
@@ -12,6 +12,7 @@
 import sedgeyoke.plan.PlanSubscriber;
 import sedgeyoke.plan.remote.PlannerClient;
 import sedgeyoke.policy.LoadBalancingPolicy;
+import sedgeyoke.proxy.common.TimeUnits;
 import sedgeyoke.proxy.config.BalancerConfig;
 import sedgeyoke.proxy.core.PolicyPort;
 import sedgeyoke.proxy.lifecycle.BalancerServer;
@@ -76,14 +77,15 @@
             return;
         }
         LoadBalancingPolicy.Settings settings = config.instanceSettings().settings();
-        double minGrant =
-                MIN_GRANT_REQUESTS * 1e6 / Math.max(1, settings.rules().overloadWindowMicros());
+        double minGrant = MIN_GRANT_REQUESTS
+                * TimeUnits.MICROS_PER_SECOND
+                / Math.max(1, settings.rules().overloadWindowMicros());
         PlanSubscriber.Identity self = new PlanSubscriber.Identity(
                 config.name(),
                 new SecureRandom().nextLong() | 1,
                 settings.zone(),
-                plans.leaseMs() * 1_000,
-                plans.fadeMs() * 1_000,
+                plans.leaseMs() * TimeUnits.MICROS_PER_MILLI,
+                plans.fadeMs() * TimeUnits.MICROS_PER_MILLI,
                 minGrant);
         try {
             planners = new PlannerClient(loop, server.port(), self, plans);
