--- a/src/main/java/sedgeyoke/proxy/client/AcceptDelay.java
+++ b/src/main/java/sedgeyoke/proxy/client/AcceptDelay.java
@@ -1,8 +1,8 @@
 package sedgeyoke.proxy.client;
 
 /**
- * How long connections may have waited in the listener's backlog because none were accepted: accepting was paused for
- * want of sockets, or the call failed. Clients count that time. Event loop only.
+ * Measures how long connections may have waited in the listener's backlog because none were accepted: accepting was
+ * paused for want of sockets, or the call failed. Clients count that time. Event loop only.
  */
 final class AcceptDelay {
     private static final long NOT_BLOCKED = Long.MIN_VALUE;
--- a/src/main/java/sedgeyoke/proxy/client/ClientConnection.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnection.java
@@ -12,8 +12,8 @@
 import sedgeyoke.proxy.core.ProxyCore;
 
 /**
- * One connection of a client: it owns the state, and connects the channel with those that work on it. Requests are
- * read by {@link RequestReader} and decided on by {@link RequestAdmission}; responses are written by
+ * Owns the state of one connection of a client, and passes the events of its channel to those that work on it.
+ * Requests are read by {@link RequestReader} and decided on by {@link RequestAdmission}; responses are written by
  * {@link ResponseWriter}; {@link ClientConnectionCloser} closes it when its client leaves it unused. All methods run
  * on the event loop.
  */
--- a/src/main/java/sedgeyoke/proxy/client/ClientConnectionState.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnectionState.java
@@ -1,6 +1,6 @@
 package sedgeyoke.proxy.client;
 
-/** The states of a client's connection and the transitions between them; {@link ClientConnection} owns the state. */
+/** Names the states of a client's connection, and the transitions; {@link ClientConnection} owns the state. */
 enum ClientConnectionState {
     /** Nothing has been received yet. */
     NEW,
--- a/src/main/java/sedgeyoke/proxy/client/ClientConnections.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnections.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * The open connections of clients, and how many there may be: from when on further ones wait, requests are rejected and
- * idle connections must go; {@link ClientConnectionCloser} closes them. To be used on the event loop.
+ * Holds the open connections of clients and knows how many there may be: from when on further ones wait, requests are
+ * rejected and idle connections must go. {@link ClientConnectionCloser} closes them. To be used on the event loop.
  */
 final class ClientConnections {
     /** Share of the sockets for clients; at that many, connections are no longer accepted. */
     private static final double CLIENT_SHARE = 0.5;
-    /** So many below that, connections without a request are closed, and further requests are rejected. */
+    /** Closer than that to the limit, connections without a request are closed, and requests are rejected. */
     private static final int RESERVED_CONNECTIONS = 32;
     /**
      * From this share of the sockets on, the longest idle connections are closed. The platform lets clients hold a
--- a/src/main/java/sedgeyoke/proxy/client/ClientTimeouts.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientTimeouts.java
@@ -3,8 +3,8 @@
 import sedgeyoke.body.BodyLimits;
 
 /**
- * How long a client's connection may stay in each state. {@code elapsedMicros} is the time since it entered the state,
- * and {@code idle} says that no request of its client is waiting either; all times are microseconds.
+ * Decides how long a client's connection may stay in each state. {@code elapsedMicros} is the time since it entered
+ * the state, and {@code idle} says that no request of its client is waiting either; all times are microseconds.
  */
 final class ClientTimeouts {
     /** For the first complete request of a new connection, and for the rest of one of which a part was received. */
--- a/src/main/java/sedgeyoke/proxy/client/HttpFrontend.java
+++ b/src/main/java/sedgeyoke/proxy/client/HttpFrontend.java
@@ -186,7 +186,7 @@
 
     // ---- Graceful shutdown ---------------------------------------------------------------------------
 
-    /** From now on health checks fail, so that clients are sent elsewhere. */
+    /** Lets health checks fail from now on, so that clients are sent elsewhere. */
     public void drain() {
         draining = true;
     }
--- a/src/main/java/sedgeyoke/proxy/client/IncomingRequest.java
+++ b/src/main/java/sedgeyoke/proxy/client/IncomingRequest.java
@@ -13,8 +13,8 @@
 import sedgeyoke.proxy.exchange.RequestBody;
 
 /**
- * The request that is being read on one connection, with its body. It goes to {@link RequestAdmission} once, as soon as
- * its body is complete or too long to be buffered. To be used on the event loop.
+ * Puts together the request that is being read on one connection, with its body. It goes to {@link RequestAdmission}
+ * once, as soon as its body is complete or too long to be buffered. To be used on the event loop.
  */
 public final class IncomingRequest implements RequestBody.Source {
     private final Channel channel;
--- a/src/main/java/sedgeyoke/proxy/client/PipelinedRequests.java
+++ b/src/main/java/sedgeyoke/proxy/client/PipelinedRequests.java
@@ -6,7 +6,7 @@
 import java.util.Queue;
 
 /**
- * What a client has sent behind the request in flight. It is read, because the end of a client that leaves comes
+ * Queues what a client has sent behind the request in flight. It is read, because the end of a client that leaves comes
  * behind it, but only up to a limit: beyond that the rest is discarded, what was received completely is answered, and
  * the connection ends. To be used on the event loop.
  */
--- a/src/main/java/sedgeyoke/proxy/exchange/Attempt.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/Attempt.java
@@ -4,8 +4,8 @@
 import sedgeyoke.body.PartialRequestPolicy.BodyProgress;
 
 /**
- * One attempt of an exchange at an upstream. It ends once, whatever happens first; see {@link AttemptListener#ended}.
- * Times are microseconds of the policy's clock.
+ * Holds the state of one attempt of an exchange at an upstream. It ends once, whatever happens first; see
+ * {@link AttemptListener#ended}. Times are microseconds of the policy's clock.
  */
 public final class Attempt {
     private static final long NOT_STARTED = 0;
--- a/src/main/java/sedgeyoke/proxy/exchange/AttemptConnection.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/AttemptConnection.java
@@ -2,7 +2,7 @@
 
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
 
-/** The connection that an attempt's request was written to. Event loop only. */
+/** Stops an attempt on the connection that its request was written to. Event loop only. */
 public interface AttemptConnection {
     /** Whether this attempt is the one in flight on the connection. */
     boolean carries(Attempt attempt);
--- a/src/main/java/sedgeyoke/proxy/exchange/Exchange.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/Exchange.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import sedgeyoke.policy.LoadBalancingPolicy.Request;
 
-/** One client's request, from its arrival to its response and the end of its last attempt. Event loop only. */
+/**
+ * Holds the state of one client's request, from its arrival to its response and the end of its last attempt. Event loop
+ * only.
+ */
 public final class Exchange {
     /** Stands for a body whose length the head does not say. */
     public static final long UNKNOWN_LENGTH = -1;
--- a/src/main/java/sedgeyoke/proxy/exchange/ExchangeTable.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ExchangeTable.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The open exchanges by id: each until it is answered and its last attempt has ended. Event loop only. */
+/** Holds the open exchanges by id: each until it is answered and its last attempt has ended. Event loop only. */
 public final class ExchangeTable {
     private final int maxExchanges;
     private final Map<String, Exchange> exchanges = new HashMap<>();
--- a/src/main/java/sedgeyoke/proxy/exchange/PolicyClock.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/PolicyClock.java
@@ -3,8 +3,8 @@
 import sedgeyoke.proxy.common.Micros;
 
 /**
- * The policy's clock, and how late the event loop runs its timers. Times are microseconds; the clock is the wall clock
- * at the start, advanced by the monotonic clock. Event loop only, but for {@link #now}.
+ * Tells the policy's time, and how late the event loop runs its timers. Times are microseconds; the clock is the wall
+ * clock at the start, advanced by the monotonic clock. Event loop only, but for {@link #now}.
  */
 public final class PolicyClock {
     private static final long NANOS_PER_MICRO = 1_000;
@@ -18,7 +18,7 @@
     /** How late the one before it ran. */
     private long earlierTimerDelayMicros;
 
-    /** Microseconds: the wall clock at the start, advanced by the monotonic clock. */
+    /** The present time. May be called on any thread. */
     public long now() {
         return startMicros + (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
     }
--- a/src/main/java/sedgeyoke/proxy/exchange/RejectionReason.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RejectionReason.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * Why a request was rejected instead of being served, and the status that its client gets. The request was not
+ * Names why a request was rejected instead of being served, and the status that its client gets. The request was not
  * executed, or a retry of it is harmless.
  */
 public enum RejectionReason {
--- a/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
@@ -4,14 +4,14 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * The body of a request on its way from a client to an upstream, independent of the protocol. A short body is buffered
+ * Passes the body of a request from a client to an upstream, independent of the protocol. A short body is buffered
  * completely and can be sent by several attempts. Of a long one only so much is buffered as the limit allows; the rest
  * is not read from the client until an attempt takes it, and what an attempt has taken is dropped here. To be used on
  * the event loop.
  */
 public final class RequestBody {
     private final Source source;
-    private final int maxBuffered;
+    private final int maxUnstreamedBytes;
     private final BodyAccumulator buffered;
     private final ReadOverflowBuffer overflow = new ReadOverflowBuffer();
     /** Whether the last byte was received. */
@@ -51,11 +51,11 @@
         public void abort();
     }
 
-    /** {@code maxBuffered} bytes are buffered before the body must be streamed. */
-    public RequestBody(Source source, int maxBuffered) {
+    /** A body of more than {@code maxUnstreamedBytes} is streamed. */
+    public RequestBody(Source source, int maxUnstreamedBytes) {
         this.source = source;
-        this.maxBuffered = maxBuffered;
-        this.buffered = new BodyAccumulator(maxBuffered);
+        this.maxUnstreamedBytes = maxUnstreamedBytes;
+        this.buffered = new BodyAccumulator(maxUnstreamedBytes);
     }
 
     // ---- Received from the client --------------------------------------------------------------------
@@ -66,12 +66,12 @@
             part.release();
             return false;
         }
-        if (!streams && buffered.size() + part.readableBytes() <= maxBuffered) {
+        if (!streams && buffered.size() + part.readableBytes() <= maxUnstreamedBytes) {
             buffered.add(part);
             part.release();
             return false;
         }
-        boolean begins = !streams;
+        boolean streamingBegins = !streams;
         streams = true;
         if (sink == null || paused || !overflow.isEmpty()) {
             bufferOverflow(part);
@@ -79,7 +79,7 @@
         } else {
             write(part);
         }
-        return begins;
+        return streamingBegins;
     }
 
     /** Writes a part to the sink; true if the sink wants more. */
--- a/src/main/java/sedgeyoke/proxy/exchange/RequestMetrics.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RequestMetrics.java
@@ -5,7 +5,7 @@
 import sedgeyoke.policy.LoadBalancingPolicy.Outcome;
 import sedgeyoke.proxy.discovery.DiscoveryMetrics;
 
-/** Counters of this process by request class; all begin at 0. To be used on the event loop. */
+/** Counts the requests and attempts of this process, from 0, and prints the metrics. To be used on the event loop. */
 public final class RequestMetrics {
     private static final String PREFIX = "edge_balancer.";
 
--- a/src/main/java/sedgeyoke/proxy/exchange/ResponseStream.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ResponseStream.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** A response that is forwarded while it is received, independent of the protocol. */
+/** Declares both sides of a response that is forwarded while it is received, independent of the protocol. */
 public final class ResponseStream {
     private ResponseStream() {}
 
--- a/src/main/java/sedgeyoke/proxy/exchange/UpstreamResponse.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/UpstreamResponse.java
@@ -13,7 +13,7 @@
 import sedgeyoke.simulator.SettingsReader;
 
 /**
- * A complete and valid response of an upstream.
+ * Holds a complete and valid response of an upstream.
  *
  * @param outcome what its status stands for
  * @param load its load report; null if it has none that is valid
--- a/src/main/java/sedgeyoke/proxy/exchange/WithheldReason.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/WithheldReason.java
@@ -1,6 +1,6 @@
 package sedgeyoke.proxy.exchange;
 
-/** Why an attempt that the policy chose was not written to its upstream. */
+/** Names why an attempt that the policy chose was not written to its upstream. */
 public enum WithheldReason {
     /** The client has its response, or has left, or the attempt was cancelled. */
     EXCHANGE_OVER("exchange_over"),
