--- a/src/main/java/sedgeyoke/proxy/client/RequestParser.java
+++ b/src/main/java/sedgeyoke/proxy/client/RequestParser.java
@@ -10,7 +10,7 @@
 import java.util.regex.Pattern;
 import sedgeyoke.policy.LoadBalancingPolicy.Effect;
 import sedgeyoke.policy.LoadBalancingPolicy.Request;
-import sedgeyoke.proxy.common.Micros;
+import sedgeyoke.proxy.common.TimeUnits;
 import sedgeyoke.proxy.config.BalancerConfig;
 import sedgeyoke.proxy.core.ProxyCore;
 import sedgeyoke.proxy.exchange.RejectionReason;
@@ -87,7 +87,7 @@
                 tenant,
                 keys.isEmpty() ? null : keys.get(0),
                 Math.max(0, number(headers.get("X-Call-Cost"))),
-                budgetMillis * Micros.PER_MILLI,
+                budgetMillis * TimeUnits.MICROS_PER_MILLI,
                 !head.method().equals(HttpMethod.GET),
                 "1".equals(headers.get("X-Again")));
     }
--- a/src/main/java/sedgeyoke/proxy/common/RateLimitedLog.java
+++ b/src/main/java/sedgeyoke/proxy/common/RateLimitedLog.java
@@ -10,7 +10,6 @@
  */
 public final class RateLimitedLog {
     private static final int MAX_LINES_PER_SECOND = 20;
-    private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final PrintStream out;
     private final String name;
@@ -42,7 +41,7 @@
 
     private void write(Budget budget, String text) {
         long now = clockMicros.getAsLong();
-        long second = now / MICROS_PER_SECOND;
+        long second = now / TimeUnits.MICROS_PER_SECOND;
         if (second != budget.second) {
             if (budget.dropped > 0) {
                 print(now, "(" + budget.dropped + " lines suppressed)");
@@ -57,7 +56,7 @@
     }
 
     private void print(long now, String text) {
-        long millis = now / Micros.PER_MILLI;
+        long millis = now / TimeUnits.MICROS_PER_MILLI;
         String fraction = Long.toString(1_000 + millis % 1_000).substring(1);
         out.println(millis / 1_000 + "." + fraction + ' ' + name + text);
     }
--- a/src/main/java/sedgeyoke/proxy/exchange/PolicyClock.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/PolicyClock.java
@@ -1,6 +1,6 @@
 package sedgeyoke.proxy.exchange;
 
-import sedgeyoke.proxy.common.Micros;
+import sedgeyoke.proxy.common.TimeUnits;
 
 /**
  * Tells the policy's time, and how late the event loop runs its timers. Times are microseconds; the clock is the wall
@@ -9,7 +9,7 @@
 public final class PolicyClock {
     private static final long NANOS_PER_MICRO = 1_000;
 
-    private final long startMicros = System.currentTimeMillis() * Micros.PER_MILLI;
+    private final long startMicros = System.currentTimeMillis() * TimeUnits.MICROS_PER_MILLI;
     private final long startNanos = System.nanoTime();
     /** When the timer that the policy set last is due; it always has one. */
     private long timerDueMicros = Long.MAX_VALUE;
