--- a/src/test/java/sedgeyoke/policy/AdmissionTest.java
+++ b/src/test/java/sedgeyoke/policy/AdmissionTest.java
@@ -93,7 +93,7 @@
     @Test
     void aMarkedRetryIsShedSoonerOnceRejectionsAreUsual() {
         for (boolean retry : new boolean[] {true, false}) {
-            config.lateWorth = 0;
+            config.latePriorityWeight = 0;
             PolicyHarness host = PolicyHarness.of(config);
             for (int i = 0; i < 100; i++) {
                 host.request(0, 2 * SECOND);
@@ -124,7 +124,7 @@
     @Test
     void queuedRequestsPastTheirObjectiveAreRejectedWithoutLateWeight() {
         for (double late : new double[] {0, 0.5}) {
-            config.lateWorth = late;
+            config.latePriorityWeight = late;
             PolicyHarness host = PolicyHarness.of(config);
             host.request(0, 2 * SECOND);
             host.advance(600 * MILLI);
--- a/src/test/java/sedgeyoke/policy/AffinityTest.java
+++ b/src/test/java/sedgeyoke/policy/AffinityTest.java
@@ -21,8 +21,8 @@
 
     @Test
     void aKeyHasOneAffinityUpstream() {
-        for (boolean warm : new boolean[] {false, true}) {
-            config.keyAffinity = warm;
+        for (boolean keyAffinity : new boolean[] {false, true}) {
+            config.keyAffinity = keyAffinity;
             PolicyHarness host = PolicyHarness.of(config).list(6);
             for (int i = 0; i < 200; i++) {
                 String id = host.request(0, 2 * SECOND, "key", 20 * MILLI);
@@ -30,7 +30,7 @@
                 host.end(id, Outcome.OK, 20 * MILLI, null);
             }
             int most = host.perUpstream.values().stream().max(Integer::compare).orElse(0);
-            assertEquals(warm, most > 150, host.perUpstream.toString());
+            assertEquals(keyAffinity, most > 150, host.perUpstream.toString());
         }
     }
 
--- a/src/test/java/sedgeyoke/policy/EndpointsTest.java
+++ b/src/test/java/sedgeyoke/policy/EndpointsTest.java
@@ -87,7 +87,7 @@
         assertTrue(PolicyHarness.of(config).actions.isEmpty());
     }
 
-    /** What fails for one balancer fails for all: asking on at one pace keeps an overbooked discovery overbooked. */
+    /** What fails for one balancer fails for all: retries at one pace keep an overloaded discovery overloaded. */
     @Test
     void failedSubscriptionsBackOffWithinThePollLimit() {
         config.subscribesToEndpoints = true;
--- a/src/test/java/sedgeyoke/policy/InvariantRecorder.java
+++ b/src/test/java/sedgeyoke/policy/InvariantRecorder.java
@@ -38,10 +38,10 @@
         final List<Boolean> mayHaveRun = new ArrayList<>();
     }
 
-    /** {@code warmWorkPerMicro}: the most work that an upstream does in this test. */
-    InvariantRecorder(Settings settings, double warmWorkPerMicro) {
+    /** {@code fullCapacityPerMicro}: the most work that an upstream does after its slow start. */
+    InvariantRecorder(Settings settings, double fullCapacityPerMicro) {
         this.settings = settings;
-        this.fullCapacityPerMicro = warmWorkPerMicro;
+        this.fullCapacityPerMicro = fullCapacityPerMicro;
     }
 
     void endpointsUpdated(long now, ListKind kind, List<Upstream> entries) {
--- a/src/test/java/sedgeyoke/policy/PolicyHarness.java
+++ b/src/test/java/sedgeyoke/policy/PolicyHarness.java
@@ -64,7 +64,7 @@
         boolean subscribesToEndpoints;
         boolean keyAffinity;
         boolean stream;
-        double lateWorth = 0.5;
+        double latePriorityWeight = 0.5;
         List<Tenant> tenants = List.of();
         Scope scope = Scope.ZONE;
 
@@ -72,7 +72,15 @@
             List<RequestClass> classes = new ArrayList<>();
             for (Effect effect : Effect.values()) {
                 classes.add(new RequestClass(
-                        SECOND / 2, 0, 2 * SECOND, 1 + effect.ordinal(), lateWorth, effect, scope, SECOND, stream));
+                        SECOND / 2,
+                        0,
+                        2 * SECOND,
+                        1 + effect.ordinal(),
+                        latePriorityWeight,
+                        effect,
+                        scope,
+                        SECOND,
+                        stream));
             }
             return new Settings(
                     0,
@@ -192,7 +200,7 @@
 
     @Override
     public void reject(String request, long retryAfter) {
-        actions.add(now + " refuse " + request);
+        actions.add(now + " reject " + request);
         rejected.add(request);
         if (checker != null) {
             checker.rejected(now, request);
@@ -221,13 +229,13 @@
 
     @Override
     public void healthCheck(String upstream) {
-        actions.add(now + " probe " + upstream);
+        actions.add(now + " healthCheck " + upstream);
         healthChecks.add(upstream);
     }
 
     @Override
     public void closeIdle(String upstream) {
-        actions.add(now + " close " + upstream);
+        actions.add(now + " closeIdle " + upstream);
     }
 
     @Override
@@ -237,12 +245,12 @@
 
     @Override
     public void fetchEndpoints() {
-        actions.add(now + " fetch");
+        actions.add(now + " fetchEndpoints");
     }
 
     @Override
     public void sendToPeer(int peer, byte[] body) {
-        actions.add(now + " tell " + peer);
+        actions.add(now + " sendToPeer " + peer);
     }
 
     @Override
--- a/src/test/java/sedgeyoke/policy/TransfersTest.java
+++ b/src/test/java/sedgeyoke/policy/TransfersTest.java
@@ -130,7 +130,7 @@
         for (int i = 30; i < 90; i++) {
             startTransfer(host, requestWithPendingBody(host, "t" + i));
         }
-        assertTrue(host.perUpstream.get("u1") > 10, "warm again: " + host.perUpstream);
+        assertTrue(host.perUpstream.get("u1") > 10, "after its slow start: " + host.perUpstream);
     }
 
     /** Every way in which an attempt can change its pace and end, against a count of our own. */
--- a/src/test/java/sedgeyoke/policy/UnservedReasonTest.java
+++ b/src/test/java/sedgeyoke/policy/UnservedReasonTest.java
@@ -48,15 +48,15 @@
     }
 
     @Test
-    void aQueuedRequestThatCanOnlyBeLateIsShedIfThatIsWorthNothing() {
-        for (boolean worthNothing : new boolean[] {true, false}) {
-            config.lateWorth = worthNothing ? 0 : 0.5;
+    void aQueuedRequestThatCanOnlyBeLateIsShedIfLateResponsesHaveNoWeight() {
+        for (boolean withoutWeight : new boolean[] {true, false}) {
+            config.latePriorityWeight = withoutWeight ? 0 : 0.5;
             PolicyHarness host = PolicyHarness.of(config);
             host.request(SAFE, 2 * SECOND);
             host.advance(SECOND / 2);
             assertEquals(0, host.rejected.size());
             host.advance(Deadlines.SWEEP_PERIOD_MICROS);
-            assertEquals(worthNothing ? 1 : 0, host.rejected.size());
+            assertEquals(withoutWeight ? 1 : 0, host.rejected.size());
         }
     }
 
--- a/src/test/java/sedgeyoke/simulation/SharedCoresTest.java
+++ b/src/test/java/sedgeyoke/simulation/SharedCoresTest.java
@@ -85,7 +85,8 @@
         }
         events.runUntil(SimulationContext.START + 10_000 * MS);
         assertEquals(12, completedAtMs.size());
-        assertEquals(2_000, completedAtMs.get(11), 5); // 1.2 s of work by a node that has lost two fifths of its speed
+        // 1.2 s of work by an upstream that has lost two fifths of its speed.
+        assertEquals(2_000, completedAtMs.get(11), 5);
     }
 
     @Test
--- a/src/test/java/sedgeyoke/simulation/SimulationTest.java
+++ b/src/test/java/sedgeyoke/simulation/SimulationTest.java
@@ -157,7 +157,7 @@
         assertNotEquals(text(new Simulation(withoutFault, 2).run()), text(new Simulation(withFault, 2).run()));
     }
 
-    /** Few connections an upstream, cold forwarders, a zone that fails and one that is partitioned. */
+    /** Few connections an upstream, restarts of forwarders, a zone that fails and one that is partitioned. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void theRulesHoldWithFewConnectionsAndRestartsOfForwarders(long seed) {
