--- a/src/test/java/sedgeyoke/drill/ConsensusProcessesTest.java
+++ b/src/test/java/sedgeyoke/drill/ConsensusProcessesTest.java
@@ -184,18 +184,7 @@
                             .submit(new ClientRequest.RemoveMember("k2", oldStorageId), TIMEOUT_MILLIS)
                             .result()
                             .kind());
-            ConfigResponse[] added = new ConfigResponse[1];
-            await("it is added", () -> {
-                try {
-                    added[0] = servers.client.submit(
-                            new ClientRequest.AddMember(
-                                    new Member("k2", newStorageId, "127.0.0.1:" + servers.ports.get("k2"))),
-                            TIMEOUT_MILLIS);
-                    return added[0].result().kind() == RequestResult.Kind.DONE;
-                } catch (InterruptedException e) {
-                    throw new IllegalStateException(e);
-                }
-            });
+            awaitAdded(servers, new Member("k2", newStorageId, "127.0.0.1:" + servers.ports.get("k2")));
             await(
                     "it has caught up and votes",
                     () -> servers.status("k0").voters().stream()
@@ -205,6 +194,19 @@
         }
     }
 
+    /** Asks for the addition of a member until it is done. */
+    private static void awaitAdded(ConfigServers servers, Member member) throws InterruptedException {
+        ConfigResponse[] added = new ConfigResponse[1];
+        await("it is added", () -> {
+            try {
+                added[0] = servers.client.submit(new ClientRequest.AddMember(member), TIMEOUT_MILLIS);
+                return added[0].result().kind() == RequestResult.Kind.DONE;
+            } catch (InterruptedException e) {
+                throw new IllegalStateException(e);
+            }
+        });
+    }
+
     /** A bit that flips while a server is down is detected, and the record is replicated again. */
     @Test
     void aCorruptRecordIsReplicatedAgain(@TempDir Path folder) throws Exception {
