--- a/src/test/java/sedgeyoke/consensus/ExplicitStatesTest.java
+++ b/src/test/java/sedgeyoke/consensus/ExplicitStatesTest.java
@@ -297,20 +297,6 @@
         }
     }
 
-    private static final class NoSnapshotCodec implements SnapshotCodec {
-        static final NoSnapshotCodec CODEC = new NoSnapshotCodec();
-
-        @Override
-        public byte[] encode(Snapshot state) {
-            throw new AssertionError("there are too few entries for a snapshot");
-        }
-
-        @Override
-        public Snapshot decode(byte[] bytes) {
-            throw new AssertionError("no snapshot is sent");
-        }
-    }
-
     private static ClusterState replay(Function<RaftTiming, SafetyRules> rules, List<Step> path) {
         ClusterState state = new ClusterState(rules);
         path.forEach(state::apply);
--- a/src/test/java/sedgeyoke/consensus/SingleReplica.java
+++ b/src/test/java/sedgeyoke/consensus/SingleReplica.java
@@ -40,7 +40,7 @@
                         new Member("a", STORAGE_ID, "a"),
                         new Member("b", STORAGE_ID, "b"),
                         new Member("c", STORAGE_ID, "c"))),
-                new NoSnapshotCodec(),
+                NoSnapshotCodec.CODEC,
                 new SplittableRandom(1),
                 now);
     }
@@ -123,16 +123,4 @@
                 .map(a -> ((Action.Respond) a).result())
                 .toList();
     }
-
-    private static final class NoSnapshotCodec implements SnapshotCodec {
-        @Override
-        public byte[] encode(Snapshot state) {
-            throw new AssertionError("no snapshot is sent");
-        }
-
-        @Override
-        public Snapshot decode(byte[] bytes) {
-            throw new AssertionError("no snapshot is received");
-        }
-    }
 }
--- a/src/test/java/sedgeyoke/proxy/BalancerProcessTest.java
+++ b/src/test/java/sedgeyoke/proxy/BalancerProcessTest.java
@@ -7,7 +7,6 @@
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.ConnectException;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -19,6 +18,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import sedgeyoke.drill.ProgramProcess;
 
 /** The balancer as a process: graceful shutdown on SIGTERM and reload on SIGHUP, also during the start. */
 class BalancerProcessTest {
@@ -176,7 +176,7 @@
             release.await();
             ScriptedServer.reply(socket, 200, "x");
         })) {
-            int port = freePort();
+            int port = ProgramProcess.freePort();
             Path file = Files.writeString(
                     folder.resolve("config.json"),
                     new String(
@@ -214,12 +214,6 @@
         return file;
     }
 
-    private static int freePort() throws IOException {
-        try (ServerSocket probe = new ServerSocket(0)) {
-            return probe.getLocalPort();
-        }
-    }
-
     /** The connection of the first client that can connect. */
     private static Socket connect(int port) throws Exception {
         AtomicReference<Socket> connected = new AtomicReference<>();
--- a/src/test/java/sedgeyoke/proxy/DiscoveryWireBytesTest.java
+++ b/src/test/java/sedgeyoke/proxy/DiscoveryWireBytesTest.java
@@ -1,8 +1,7 @@
 package sedgeyoke.proxy;
 
-import java.io.IOException;
-import java.net.ServerSocket;
 import org.junit.jupiter.api.Test;
+import sedgeyoke.drill.ProgramProcess;
 
 /** Requests to discovery are byte for byte what was recorded. */
 class DiscoveryWireBytesTest extends WireBytesTestBase {
@@ -23,7 +22,7 @@
         try (RawServer discovery = new RawServer(DiscoveryWireBytesTest::discoveryAnswer);
                 BalancerProcess balancer = BalancerProcess.start(
                         folder,
-                        freePort(),
+                        ProgramProcess.freePort(),
                         Loopback.configText(Loopback.SETTINGS, discovery.address(), 1024, Loopback.list(1, true)))) {
             balancer.awaitHealthy();
             addFirstCall(discovery, "the first call", "GET /catalog/members ");
@@ -45,10 +44,4 @@
                         .findFirst()
                         .orElseThrow());
     }
-
-    private static int freePort() throws IOException {
-        try (ServerSocket socket = new ServerSocket(0)) {
-            return socket.getLocalPort();
-        }
-    }
 }
--- a/src/test/java/sedgeyoke/proxy/DrainGraceTest.java
+++ b/src/test/java/sedgeyoke/proxy/DrainGraceTest.java
@@ -9,7 +9,6 @@
 import static sedgeyoke.proxy.ScriptedAgent.Fault.SILENT;
 
 import java.io.IOException;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -19,6 +18,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import sedgeyoke.drill.ProgramProcess;
 import sedgeyoke.proxy.ScriptedAgent.Fault;
 
 /**
@@ -117,12 +117,6 @@
         }
     }
 
-    private static int freePort() throws IOException {
-        try (ServerSocket probe = new ServerSocket(0)) {
-            return probe.getLocalPort();
-        }
-    }
-
     /** The agent had the drain before the process started, and its first answers break. */
     @Test
     void aProcessSendsNothingToAnUpstreamThatDrainedBeforeItsStart() throws Exception {
@@ -135,7 +129,7 @@
                     agent.address(),
                     1024,
                     Loopback.list(1, true, drained.member("u", "up"), other.member("v", "up")));
-            try (BalancerProcess balancer = BalancerProcess.start(folder, freePort(), config);
+            try (BalancerProcess balancer = BalancerProcess.start(folder, ProgramProcess.freePort(), config);
                     SteadyClients clients = new SteadyClients(balancer)) {
                 Loopback.await("it serves", () -> clients.answered.get() > 200);
                 assertEquals(0, drained.received.get(), "requests at the upstream that had drained");
@@ -153,7 +147,7 @@
                     agent.address(),
                     1024,
                     Loopback.list(1, true, drained.member("u", "up"), other.member("v", "up")));
-            try (BalancerProcess balancer = BalancerProcess.start(folder, freePort(), config);
+            try (BalancerProcess balancer = BalancerProcess.start(folder, ProgramProcess.freePort(), config);
                     SteadyClients clients = new SteadyClients(balancer)) {
                 Loopback.await("both serve", () -> drained.received.get() > 50 && other.received.get() > 50);
                 assertTrue(clients.answered.get() > 0);
