--- a/src/test/java/sedgeyoke/proxy/GracefulShutdownTest.java
+++ b/src/test/java/sedgeyoke/proxy/GracefulShutdownTest.java
@@ -124,25 +124,46 @@
         return longestStallNanos;
     }
 
-    /** False if the test itself was delayed: then it cannot know what was answered in time, and must be repeated. */
-    private static boolean runTrial(int pausedBeforeKill, List<String> faults) throws Exception {
-        AtomicInteger received = new AtomicInteger();
-        AtomicInteger answered = new AtomicInteger();
-        try (Loopback lb = Loopback.setup()
+    /** A balancer that counts the requests that it receives, and answers none. */
+    private static Loopback startWithoutAnswers(AtomicInteger received) throws Exception {
+        return Loopback.setup()
                 .setting("\"give-up-s\":2", "\"give-up-s\":0.3")
                 .policy(actions -> {
                     ScriptedPolicy policy = new ScriptedPolicy(actions);
                     policy.onRequest = (m, r) -> received.incrementAndGet(); // and does not answer
                     return policy;
                 })
-                .start()) {
+                .start();
+    }
+
+    private static List<Socket> connect(Loopback lb, int clients) throws Exception {
+        List<Socket> sockets = new ArrayList<>();
+        for (int i = 0; i < clients; i++) {
+            sockets.add(lb.connect());
+        }
+        Loopback.await("all are known", () -> lb.server.clients() >= clients);
+        return sockets;
+    }
+
+    private static void ask(Socket socket, String id, AtomicInteger answered) {
+        try {
+            ScriptedServer.write(socket, Loopback.request(id, "order", 3_000));
+            if (Loopback.answer(socket) != null) {
+                answered.incrementAndGet();
+            }
+        } catch (IOException closed) {
+            return; // before it was written: the client sends it elsewhere
+        }
+    }
+
+    /** False if the test itself was delayed: then it cannot know what was answered in time, and must be repeated. */
+    private static boolean runTrial(int pausedBeforeKill, List<String> faults) throws Exception {
+        AtomicInteger received = new AtomicInteger();
+        AtomicInteger answered = new AtomicInteger();
+        try (Loopback lb = startWithoutAnswers(received)) {
             Loopback.await("ready", () -> lb.health() == 200);
             int clients = 20;
-            List<Socket> sockets = new ArrayList<>();
-            for (int i = 0; i < clients; i++) {
-                sockets.add(lb.connect());
-            }
-            Loopback.await("all are known", () -> lb.server.clients() >= clients);
+            List<Socket> sockets = connect(lb, clients);
             long[] shutDownNanos = new long[1];
             Thread end = new Thread(lb.server::shutDown);
             lb.loop
@@ -159,14 +180,7 @@
                     .mapToObj(i -> new Thread(() -> {
                         java.util.concurrent.locks.LockSupport.parkNanos(
                                 shutDownNanos[0] + (500 + i * 25) * 1_000_000L - System.nanoTime());
-                        try {
-                            ScriptedServer.write(sockets.get(i), Loopback.request("id-" + i, "order", 3_000));
-                            if (Loopback.answer(sockets.get(i)) != null) {
-                                answered.incrementAndGet();
-                            }
-                        } catch (IOException closed) {
-                            return; // before it was written: the client sends it elsewhere
-                        }
+                        ask(sockets.get(i), "id-" + i, answered);
                     }))
                     .toList();
             clientThreads.forEach(Thread::start);
--- a/src/test/java/sedgeyoke/proxy/ServingTest.java
+++ b/src/test/java/sedgeyoke/proxy/ServingTest.java
@@ -121,14 +121,14 @@
             ScriptedServer.write(socket, answer);
             socket.close();
         };
-        try (ScriptedServer a = new ScriptedServer(script);
-                ScriptedServer b = new ScriptedServer(script);
+        try (ScriptedServer first = new ScriptedServer(script);
+                ScriptedServer second = new ScriptedServer(script);
                 Loopback lb = Loopback.setup()
-                        .upstream("a", a.address())
-                        .upstream("b", b.address())
+                        .upstream("a", first.address())
+                        .upstream("b", second.address())
                         .start()) {
             assertEquals(502, lb.ask("id-1", "order", 2000).status());
-            assertEquals(1, a.requests.size() + b.requests.size());
+            assertEquals(1, first.requests.size() + second.requests.size());
         }
     }
 
