--- a/src/test/java/sedgeyoke/proxy/ServingTest.java
+++ b/src/test/java/sedgeyoke/proxy/ServingTest.java
@@ -8,6 +8,9 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -274,6 +277,31 @@
         }
     }
 
+    /** Each client sends its request as soon as it is connected; the loop has much to do between two reads. */
+    @Test
+    void aRequestThatALateLoopHasNotReadIsAnsweredWhereConnectionsAreScarce() throws Exception {
+        try (ScriptedServer upstream = new ScriptedServer((request, socket) -> {});
+                Loopback lb = Loopback.setup()
+                        .upstream("u", upstream.address())
+                        .sockets(128)
+                        .start()) {
+            Future<?> pauses = lb.loop.scheduleWithFixedDelay(
+                    () -> LockSupport.parkNanos(150_000_000), 0, 1, TimeUnit.MILLISECONDS);
+            List<Socket> clients = new ArrayList<>();
+            for (int i = 0; i < 64; i++) {
+                Socket client = lb.connect();
+                clients.add(client);
+                ScriptedServer.write(client, Loopback.request("id-" + i, "order", 1500));
+            }
+            int unanswered = 0;
+            for (Socket client : clients) {
+                unanswered += Loopback.answer(client) == null ? 1 : 0;
+            }
+            pauses.cancel(false);
+            assertEquals(0, unanswered, "connections that ended without a response");
+        }
+    }
+
     @Test
     void idleClientConnectionsAreClosedForNewOnes() throws Exception {
         try (ScriptedServer upstream = ScriptedServer.serving("x");
