--- a/bench/src/BodiesCost.java
+++ b/bench/src/BodiesCost.java
@@ -46,6 +46,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongConsumer;
 import java.util.function.ToDoubleFunction;
+import sedgeyoke.standin.Configurations;
 
 /**
  * BodiesCost: processor time and rate of short requests and 64 MB bodies through one core, compared in one run.
@@ -378,8 +379,9 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nowhere = free.getLocalPort();
         }
-        ObjectNode configuration = (ObjectNode) JSON.readTree(sedgeyoke.standin.Configurations.of(
-                Sites.orders(NODES), name, "127.0.0.1:0", "127.0.0.1:" + nowhere, 0, 0, 1, 7));
+        ObjectNode configuration = (ObjectNode) JSON.readTree(Configurations.of(
+                Sites.orders(NODES),
+                new Configurations.BalancerSpec(name, "127.0.0.1:0", "127.0.0.1:" + nowhere, 0, 0, 1, 7)));
         configuration.withObject("/known").put("revision", 1).set("members", JSON.readTree("[" + members + "]"));
         Path json = Files.writeString(folder.resolve(name + ".json"), configuration.toString());
         List<String> command =
