--- a/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
+++ b/src/main/java/sedgeyoke/policy/LoadBalancingPolicy.java
@@ -31,7 +31,10 @@
     /** An attempt ended. */
     void attemptEnded(long nowMicros, AttemptEnd end);
 
-    /** A streamed response started: the attempt can no longer be retried or cancelled. */
+    /**
+     * A response or a long request body is being streamed: this attempt is the last one of its request, and it can no
+     * longer be cancelled.
+     */
     void responseStarted(long nowMicros, String request, int attempt);
 
     /**
@@ -154,7 +157,7 @@
         REJECTED(true),
         /** No response in time; the attempt may have run or still run. */
         TIMEOUT(false),
-        /** No connection could be opened. */
+        /** The request was not written to its end: no connection could be opened in time, or it broke before that. */
         CONNECT_FAILED(true),
         /** The connection broke; the attempt may have run. */
         RESET(false),
--- a/src/main/java/sedgeyoke/policy/RetryPolicy.java
+++ b/src/main/java/sedgeyoke/policy/RetryPolicy.java
@@ -8,8 +8,9 @@
 import sedgeyoke.policy.LoadBalancingPolicy.State;
 
 /**
- * Decides on every attempt of a request: the first, retries and hedged requests. A request whose class is not
- * idempotent is never sent again once an upstream may have run it.
+ * Allows or forbids each attempt of a request: the first, retries and hedged requests; {@link Dispatcher} and
+ * {@link UpstreamSelector} choose among what is allowed. A request whose class is not idempotent is never sent again
+ * once an upstream may have run it.
  *
  * <p>A hedged request is an attempt while an earlier one is outstanding. {@code Limits.hedging} allows it in
  * {@link #mayAttempt}, but nothing in this package starts one: a request is queued, or sent again at once, only
@@ -62,7 +63,7 @@
         return hasAttemptsLeft(request) ? NextStep.QUEUE_AGAIN : NextStep.GIVE_UP;
     }
 
-    /** Takes one retry from the budget, also where less than one is left: then the retry is not allowed. */
+    /** Whether the budget allows one more retry. A retry that it refuses is taken from the budget, too. */
     private boolean chargeRetry() {
         return budget-- >= 1;
     }
--- a/src/main/java/sedgeyoke/proxy/client/ClientConnectionCloser.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnectionCloser.java
@@ -11,7 +11,8 @@
  *   <li>after the keep-alive timeout ({@link #closeTimedOut}),
  *   <li>after a shorter one where many are open, the longest idle first ({@link #closeExcessIdle}),
  *   <li>or where hardly another connection could be accepted ({@link #makeRoom}),
- *   <li>and at a graceful shutdown at once ({@link #closeIdleForShutdown}).
+ *   <li>and at a graceful shutdown as soon as no further request is accepted ({@link #closeIdleForShutdown}); before
+ *       that the timeouts above apply.
  * </ul>
  *
  * <p>The same methods end connections whose client sends nothing, sends its request too slowly, does not read its
--- a/src/main/java/sedgeyoke/proxy/client/ClientConnections.java
+++ b/src/main/java/sedgeyoke/proxy/client/ClientConnections.java
@@ -14,11 +14,11 @@
     /** Closer than that to the limit, connections without a request are closed, and requests are rejected. */
     private static final int RESERVED_CONNECTIONS = 32;
     /**
-     * From this share of the sockets on, the longest idle connections are closed. The platform lets clients hold a
-     * third of the sockets at rest, which {@link #CLIENT_SHARE} exceeds for those with a request.
+     * From this share of the sockets on, the longest idle connections are closed. The platform allows clients a third
+     * of the sockets for idle connections; {@link #CLIENT_SHARE} is more, for connections with a request.
      */
     private static final double SCARCE_SHARE = 0.125;
-    /** From this share on, half of that third, each response ends its connection. */
+    /** From this share on, which is half of that third, each response ends its connection. */
     private static final double CROWDED_SHARE = 0.17;
 
     private final int sockets;
--- a/src/main/java/sedgeyoke/proxy/discovery/RevisionTracker.java
+++ b/src/main/java/sedgeyoke/proxy/discovery/RevisionTracker.java
@@ -49,8 +49,9 @@
     }
 
     /**
-     * Whether the answer to the latest call may be taken over. If it has an older revision that is not yet confirmed,
-     * this returns false, and the next call has to fetch the complete list.
+     * Whether the answer to the latest call may be taken over; to be called once for each, as it counts older answers.
+     * If the answer has an older revision that is not yet confirmed, this returns false, and the next call has to fetch
+     * the complete list.
      */
     boolean accepts(EndpointList list) {
         if (list.revision() >= revision) {
--- a/src/main/java/sedgeyoke/proxy/exchange/AttemptProgress.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/AttemptProgress.java
@@ -83,7 +83,10 @@
         notifyTransfer(attempt);
     }
 
-    /** There will be no further attempt, and neither the attempt's timeout nor the deadline ends this one. */
+    /**
+     * There will be no further attempt, and neither the attempt's timeout nor the deadline ends this one. The policy
+     * learns of it by its event {@code responseStarted}, for a streamed request, too.
+     */
     private void makeLastAttempt(Attempt attempt) {
         Exchange exchange = attempt.exchange;
         if (exchange.streamingAttempt == null) {
--- a/src/main/java/sedgeyoke/proxy/exchange/Exchange.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/Exchange.java
@@ -38,7 +38,7 @@
     Attempt streamingAttempt;
     /** Answers the exchange shortly before its deadline; null before the first one is set. */
     Future<?> deadlineTimer;
-    /** Whether the response was handed over, or the client has disconnected. */
+    /** Whether no response is owed any more: one has been handed over or has begun, or the client has disconnected. */
     boolean answered;
 
     /** Where the response goes; one of these is called once. */
@@ -117,7 +117,7 @@
         return contentLength;
     }
 
-    /** Whether the response was handed over, or the client has disconnected. */
+    /** Whether no response is owed any more: one has been handed over or has begun, or the client has disconnected. */
     public boolean answered() {
         return answered;
     }
--- a/src/main/java/sedgeyoke/proxy/exchange/ExchangeCompletion.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/ExchangeCompletion.java
@@ -6,7 +6,7 @@
 /**
  * Ends exchanges towards their clients: each gets one response, or none if its client has left. Nothing else marks an
  * exchange as answered, and whoever rejects one names a {@link RejectionReason}. A failure, after which the request may
- * have been executed, has none. An exchange may be ended by
+ * have been executed, has none, nor has a 500 after a fault before the exchange began. An exchange may be ended by
  *
  * <ul>
  *   <li>the response of an upstream ({@link AttemptProgress}),
--- a/src/main/java/sedgeyoke/proxy/exchange/RejectionReason.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RejectionReason.java
@@ -4,10 +4,10 @@
 
 /**
  * Names why a request was rejected instead of being served, and the status that its client gets. The request was not
- * executed, or a retry of it is harmless.
+ * executed, or a retry of it is harmless, unless it is invalid: then a retry gets the same response.
  */
 public enum RejectionReason {
-    // ---- Valid requests; the policy's metrics count them as rejected ---------------------------------
+    // ---- Valid requests; counted by the metrics 'refused' ---------------------------------------------
 
     /** The policy sheds load, or sees no upstream that could respond in time. */
     POLICY_DECISION(HttpResponseStatus.SERVICE_UNAVAILABLE),
@@ -30,14 +30,14 @@
     /** No memory is left for another body that must be streamed. */
     BODY_BUDGET_EXHAUSTED(HttpResponseStatus.SERVICE_UNAVAILABLE),
 
-    // ---- Incomplete requests -------------------------------------------------------------------------
+    // ---- Incomplete requests; in no metric ------------------------------------------------------------
 
     /** The rest of the request has not come in time, or comes too slowly. */
     REQUEST_TOO_SLOW(HttpResponseStatus.REQUEST_TIMEOUT),
     /** The process shuts down, and the request is still incomplete. */
     SHUTDOWN_BEFORE_COMPLETE(HttpResponseStatus.SERVICE_UNAVAILABLE),
 
-    // ---- Invalid requests; the connection ends, as the end of such a request is not known -------------
+    // ---- Invalid requests; in no metric; the connection ends, as the end of the request is not known ----
 
     /** The bytes are no HTTP message, or its length is ambiguous. */
     MALFORMED_MESSAGE(HttpResponseStatus.BAD_REQUEST),
--- a/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
+++ b/src/main/java/sedgeyoke/proxy/exchange/RequestBody.java
@@ -45,10 +45,10 @@
         boolean forward(ByteBuf data);
 
         /** The body is complete. */
-        public void end();
+        void end();
 
         /** The body ends early: its last byte must never be sent. */
-        public void abort();
+        void abort();
     }
 
     /** A body of more than {@code maxUnstreamedBytes} is streamed. */
--- a/src/main/java/sedgeyoke/proxy/upstream/ResponseReceiver.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/ResponseReceiver.java
@@ -24,7 +24,7 @@
  * only.
  */
 final class ResponseReceiver {
-    /** A successful response that has begun and is not complete after this time is streamed. */
+    /** A successful response that has begun and is not complete after this time is streamed; as long as a stall. */
     private static final long MAX_BUFFERING_MICROS = UpstreamContext.MAX_RESPONSE_STALL_MICROS;
 
     private final UpstreamConnection connection;
--- a/src/main/java/sedgeyoke/proxy/upstream/UpstreamContext.java
+++ b/src/main/java/sedgeyoke/proxy/upstream/UpstreamContext.java
@@ -10,7 +10,7 @@
 import sedgeyoke.proxy.exchange.AttemptListener;
 
 /**
- * What all connections to upstreams have in common.
+ * The dependencies and limits that all connections to upstreams share.
  *
  * @param loop the one thread that runs everything
  * @param clockMicros the policy's clock
--- a/src/test/java/sedgeyoke/proxy/AttemptRacesTest.java
+++ b/src/test/java/sedgeyoke/proxy/AttemptRacesTest.java
@@ -30,7 +30,7 @@
                         .upstream("b", second.address()))) {
             policy.onRequest = (m, r) -> m.actions.send(r.id(), "b", 0);
             assertEquals(200, lb.ask("warm", "read", 5_000).status());
-            pauseUntil(System.nanoTime() + 30 * MS); // until that connection may carry the next request
+            pauseUntil(System.nanoTime() + 30 * NANOS_PER_MILLI); // until that connection may carry the next request
             List<Boolean> seen = new ArrayList<>();
             policy.onRequest = (m, r) -> m.actions.send(r.id(), "a", 100_000);
             policy.onEnd = (m, end) -> {
@@ -47,9 +47,9 @@
     }
 
     private static boolean closesWhileTheLoopStands(ScriptedServer peer) {
-        long until = System.nanoTime() + 500 * MS;
+        long until = System.nanoTime() + 500 * NANOS_PER_MILLI;
         while (peer.left.get() == 0 && System.nanoTime() < until) {
-            pauseUntil(System.nanoTime() + MS);
+            pauseUntil(System.nanoTime() + NANOS_PER_MILLI);
         }
         return peer.left.get() == 1;
     }
@@ -67,7 +67,8 @@
             policy.onEnd = (m, end) -> {
                 if (end.outcome() == Outcome.RESET) {
                     m.actions.send(end.request(), "b", 0);
-                    pauseUntil(System.nanoTime() + 300 * MS); // it connects, and the loop comes to it too late
+                    pauseUntil(System.nanoTime()
+                            + 300 * NANOS_PER_MILLI); // it connects, and the loop comes to it too late
                 } else if (end.outcome() == Outcome.NOT_SENT) {
                     m.actions.fail(end.request());
                 }
@@ -116,7 +117,7 @@
             policy.onEnd = (m, end) -> {
                 if (end.request().equals("id-1")) {
                     long ended = System.nanoTime();
-                    pauseUntil(ended + 4 * MS); // some milliseconds
+                    pauseUntil(ended + 4 * NANOS_PER_MILLI); // some milliseconds
                     m.actions.send("id-2", "u", 0);
                     took[0] = System.nanoTime() - ended;
                 }
@@ -124,7 +125,7 @@
             lb.loop.submit(() -> policy.actions.send("id-1", "u", 0)).sync();
             assertEquals("first", Loopback.answer(first).body());
             String answer = Loopback.answer(next).body();
-            if (took[0] > 8 * MS) {
+            if (took[0] > 8 * NANOS_PER_MILLI) {
                 return false;
             }
             assertEquals("second", answer);
--- a/src/test/java/sedgeyoke/proxy/PipelinedRequestsTest.java
+++ b/src/test/java/sedgeyoke/proxy/PipelinedRequestsTest.java
@@ -26,8 +26,12 @@
             lb.loop
                     .submit(() -> {
                         lb.loop.schedule(() -> policy.actions.reject("id-1", 0), 0, TimeUnit.MILLISECONDS);
-                        lb.loop.schedule(() -> pauseUntil(System.nanoTime() + 2_100 * MS), 0, TimeUnit.MILLISECONDS);
-                        pauseUntil(System.nanoTime() + 60 * MS); // until these and the look at all connections are due
+                        lb.loop.schedule(
+                                () -> pauseUntil(System.nanoTime() + 2_100 * NANOS_PER_MILLI),
+                                0,
+                                TimeUnit.MILLISECONDS);
+                        pauseUntil(System.nanoTime()
+                                + 60 * NANOS_PER_MILLI); // until these and the look at all connections are due
                     })
                     .sync();
             java.io.InputStream in = new java.io.BufferedInputStream(client.getInputStream());
@@ -43,7 +47,7 @@
         AtomicInteger toldMillis = new AtomicInteger();
         try (ScriptedServer upstream = new ScriptedServer((request, socket) -> {
                     if (request.headers().get("x-call-id").equals("first")) {
-                        pauseUntil(System.nanoTime() + 600 * MS);
+                        pauseUntil(System.nanoTime() + 600 * NANOS_PER_MILLI);
                     } else {
                         toldMillis.set(Integer.parseInt(request.headers().get("x-budget-ms")));
                     }
--- a/src/test/java/sedgeyoke/proxy/ShutdownRacesTest.java
+++ b/src/test/java/sedgeyoke/proxy/ShutdownRacesTest.java
@@ -64,7 +64,7 @@
                     () -> {
                         loopPaused.countDown();
                         go.await();
-                        pauseUntil(shutdownStartedAt + 700 * MS);
+                        pauseUntil(shutdownStartedAt + 700 * NANOS_PER_MILLI);
                         return null;
                     },
                     590,
@@ -93,7 +93,7 @@
                     () -> {
                         loopPaused.countDown();
                         go.await();
-                        pauseUntil(shutdownStartedAt + 580 * MS);
+                        pauseUntil(shutdownStartedAt + 580 * NANOS_PER_MILLI);
                         return null;
                     },
                     500,
@@ -170,14 +170,16 @@
             lb.loop.schedule(
                     () -> {
                         lb.loop.schedule(waitUntilSent, 0, TimeUnit.MILLISECONDS);
-                        pauseUntil(System.nanoTime() + 15 * MS);
+                        pauseUntil(System.nanoTime() + 15 * NANOS_PER_MILLI);
                     },
                     755,
                     TimeUnit.MILLISECONDS);
             loopPaused.await();
             ScriptedServer.write(client, Loopback.request("id-2", "order", 5_000));
             sent.countDown();
-            if (answered[0] == 0 || closing[0] - answered[0] > 80 * MS || closing[0] - shutdownStartedAt > 800 * MS) {
+            if (answered[0] == 0
+                    || closing[0] - answered[0] > 80 * NANOS_PER_MILLI
+                    || closing[0] - shutdownStartedAt > 800 * NANOS_PER_MILLI) {
                 return false;
             }
             assertEquals(large, Loopback.answer(client).body());
--- a/src/test/java/sedgeyoke/proxy/SlowDiscoveryTest.java
+++ b/src/test/java/sedgeyoke/proxy/SlowDiscoveryTest.java
@@ -28,7 +28,9 @@
             Loopback.await("the watch", () -> lb.discovery.requests.size() == 2);
             long silentSince = System.nanoTime();
             Loopback.await("the drain", () -> policy.lists.stream().anyMatch(l -> l.contains("DRAINING")));
-            assertTrue(System.nanoTime() - silentSince < 1_050 * MS, "the agent may have had it since the watch began");
+            assertTrue(
+                    System.nanoTime() - silentSince < 1_050 * NANOS_PER_MILLI,
+                    "the agent may have had it since the watch began");
             assertTrue(lb.discovery.requests.get(1).line().contains("hold_ms=200"));
             assertTrue(lb.discovery.requests.get(2).line().contains("hold_ms=0"), "does it answer at all?");
             assertTrue(lb.discovery.requests.get(3).line().contains("hold_ms=0"));
@@ -49,7 +51,9 @@
         try (Loopback lb = start(Loopback.setup().discovery(discovery))) {
             Loopback.await("polled often", () -> lb.discovery.requests.size() >= 12 && callTimes.size() >= 12);
             long sum = callTimes.get(11) - callTimes.get(2);
-            assertTrue(sum / 9 < 400 * MS, "drain-grace-s of these settings, on the mean of nine: " + sum / 9 / MS);
+            assertTrue(
+                    sum / 9 < 400 * NANOS_PER_MILLI,
+                    "drain-grace-s of these settings, on the mean of nine: " + sum / 9 / NANOS_PER_MILLI);
         }
     }
 
@@ -72,7 +76,7 @@
             ScriptedServer.write(
                     socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list.substring(0, 9));
             if (complete.incrementAndGet() == 1) {
-                pauseUntil(System.nanoTime() + 900 * MS);
+                pauseUntil(System.nanoTime() + 900 * NANOS_PER_MILLI);
                 ScriptedServer.write(socket, list.substring(9));
             } else {
                 socket.getInputStream().read(); // until we close it: this one never ends
